--- a/src/placement/cache_namespace.h
+++ b/src/placement/cache_namespace.h
@@ -1,5 +1,6 @@
-/// Under which text engines keep KV cache apart. Weights of another version and tenants that share nothing
-/// have namespaces of their own, so that no request can read what it must not.
+/// The namespaces that keep KV cache entries in engines apart. Each version of the weights, and each tenant
+/// that shares no cache, has a namespace of its own, so that no request can read cache entries it must not
+/// see.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +10,24 @@
 
 namespace stoat::placement {
 
-/// One namespace.
+/// Identifies one namespace.
 struct CacheNamespace {
   std::string owner;     ///< see shared_owner() and owner_of_tenant()
-  uint64_t weights = 0;  ///< version of the weights that make the cache
+  uint64_t weights = 0;  ///< version of the weights that computed the cache
 };
 
-/// Owner of the cache that all tenants share but those that are isolated.
+/// Returns the owner of the cache shared by all tenants that are not isolated.
 std::string shared_owner();
-/// Owner of the cache of an isolated tenant.
+/// Returns the owner of an isolated tenant's cache.
 std::string owner_of_tenant(const std::string& tenant);
 
-/// The text that engines are given.
+/// Returns the cache salt passed to engines.
 std::string to_salt(const CacheNamespace& name);
-/// Reads such a text back; nullopt when it is none of this product's.
+/// Parses a cache salt; nullopt if it was not produced by to_salt().
 std::optional<CacheNamespace> read_salt(std::string_view salt);
 
-/// Identifies a part of prompts in the cache of one owner, whatever the version of the weights.
-/// `part_name_hash`: hash_bytes of the part's name.
+/// Identifies a part of a prompt in the cache of one owner, independent of the version of the weights.
+/// `part_name_hash`: hash_bytes() of the part's name.
 uint64_t part_hash(std::string_view owner, std::string_view model, uint64_t part_name_hash);
 
 }  // namespace stoat::placement
--- a/src/placement/chain_memory.cc
+++ b/src/placement/chain_memory.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Parts remembered for one cache before old ones are dropped.
-constexpr size_t kMaxLinks = 4096;
+/// Maximum number of parts tracked per cache before old ones are dropped.
+constexpr size_t kMaxParts = 4096;
 
 }  // namespace
 
@@ -24,75 +24,75 @@
   return chain.links.empty() ? 0 : chain.links[last_shared].hash;
 }
 
-ChainMemory::Entry& ChainMemory::entry_for(uint64_t link, uint64_t weights) {
-  Entry& entry = entries_[link];
+ChainMemory::Entry& ChainMemory::entry_for(uint64_t part, uint64_t weights) {
+  Entry& entry = entries_[part];
   if (entry.weights < weights) {
-    entry = Entry();  // an engine drops all it had with its old weights
+    entry = Entry();  // an engine drops its whole cache together with the old weights
     entry.weights = weights;
   }
   return entry;
 }
 
-const ChainMemory::Entry* ChainMemory::find(uint64_t link, uint64_t weights) const {
-  const auto found = entries_.find(link);
+const ChainMemory::Entry* ChainMemory::find(uint64_t part, uint64_t weights) const {
+  const auto found = entries_.find(part);
   return found == entries_.end() || found->second.weights != weights ? nullptr : &found->second;
 }
 
 void ChainMemory::note_pending(const PromptChain& chain, uint64_t weights, TimePoint now) {
-  for (const ChainLink& link : chain.links) {
-    Entry& entry = entry_for(link.hash, weights);
-    entry.pending_until = std::max(entry.pending_until, now + kPendingTime);
+  for (const ChainPart& part : chain.links) {
+    Entry& entry = entry_for(part.hash, weights);
+    entry.pending_until = std::max(entry.pending_until, now + kPendingTimeout);
   }
-  drop_old(now);
+  evict_old(now);
 }
 
-void ChainMemory::note_held(const std::vector<uint64_t>& links, uint64_t weights, TimePoint now) {
-  for (const uint64_t link : links) {
-    Entry& entry = entry_for(link, weights);
+void ChainMemory::note_held(const std::vector<uint64_t>& parts, uint64_t weights, TimePoint now) {
+  for (const uint64_t part : parts) {
+    Entry& entry = entry_for(part, weights);
     if (entry.weights == weights) {
       entry.seen_at = now;
     }
   }
-  drop_old(now);
+  evict_old(now);
 }
 
 void ChainMemory::drop_pending(const PromptChain& chain) {
-  for (const ChainLink& link : chain.links) {
-    const auto found = entries_.find(link.hash);
+  for (const ChainPart& part : chain.links) {
+    const auto found = entries_.find(part.hash);
     if (found != entries_.end()) {
       found->second.pending_until = TimePoint(0);
     }
   }
 }
 
-void ChainMemory::set_holding(uint64_t link, uint64_t weights, uint32_t tokens) {
-  Entry& entry = entry_for(link, weights);
+void ChainMemory::set_holding(uint64_t part, uint64_t weights, uint32_t tokens) {
+  Entry& entry = entry_for(part, weights);
   if (entry.weights != weights) {
     return;
   }
   if (tokens < entry.tokens) {
-    entry.seen_at = TimePoint(0);  // it was dropped, at least in part
+    entry.seen_at = TimePoint(0);  // at least partly evicted
   }
   entry.tokens = tokens;
 }
 
-void ChainMemory::drop_holding(uint64_t link) {
-  const auto found = entries_.find(link);
+void ChainMemory::drop_holding(uint64_t part) {
+  const auto found = entries_.find(part);
   if (found == entries_.end() || found->second.tokens == 0) {
-    return;  // an event that is older than what was seen since
+    return;  // the event is older than the last observation
   }
   found->second.tokens = 0;
   found->second.seen_at = TimePoint(0);
 }
 
 void ChainMemory::forget_holdings() {
-  for (auto& [link, entry] : entries_) {
+  for (auto& [part, entry] : entries_) {
     entry.tokens = 0;
   }
 }
 
-void ChainMemory::drop_old(TimePoint now) {
-  if (entries_.size() > kMaxLinks) {
+void ChainMemory::evict_old(TimePoint now) {
+  if (entries_.size() > kMaxParts) {
     std::erase_if(entries_, [this, now](const auto& entry) {
       return !entry.second.seen(now, hold_time_ / 2) && entry.second.pending_until <= now &&
              entry.second.tokens == 0;
@@ -100,25 +100,25 @@
   }
 }
 
-uint32_t ChainMemory::tokens_held(const ChainLink& link, const Entry* entry, TimePoint now) const {
+uint32_t ChainMemory::tokens_held(const ChainPart& part, const Entry* entry, TimePoint now) const {
   if (entry == nullptr) {
     return 0;
   }
   if (entry->seen(now, followed(now) ? kEventDelay : hold_time_)) {
-    return link.tokens;
+    return part.tokens;
   }
-  return followed(now) ? std::min(link.tokens, entry->tokens) : 0;
+  return followed(now) ? std::min(part.tokens, entry->tokens) : 0;
 }
 
-uint32_t ChainMemory::tokens_at_beginning(const PromptChain& chain, uint64_t weights, TimePoint now,
-                                          bool with_pending) const {
+uint32_t ChainMemory::leading_tokens(const PromptChain& chain, uint64_t weights, TimePoint now,
+                                     bool include_pending) const {
   uint32_t tokens = 0;
-  for (const ChainLink& link : chain.links) {
-    const Entry* entry = find(link.hash, weights);
-    const bool pending = with_pending && entry != nullptr && entry->pending_until > now;
-    const uint32_t held = pending ? link.tokens : tokens_held(link, entry, now);
+  for (const ChainPart& part : chain.links) {
+    const Entry* entry = find(part.hash, weights);
+    const bool pending = include_pending && entry != nullptr && entry->pending_until > now;
+    const uint32_t held = pending ? part.tokens : tokens_held(part, entry, now);
     tokens += held;
-    if (held < link.tokens) {
+    if (held < part.tokens) {
       break;
     }
   }
@@ -126,11 +126,11 @@
 }
 
 uint32_t ChainMemory::cached_tokens(const PromptChain& chain, uint64_t weights, TimePoint now) const {
-  return tokens_at_beginning(chain, weights, now, true);
+  return leading_tokens(chain, weights, now, true);
 }
 
 uint32_t ChainMemory::held_tokens(const PromptChain& chain, uint64_t weights, TimePoint now) const {
-  return tokens_at_beginning(chain, weights, now, false);
+  return leading_tokens(chain, weights, now, false);
 }
 
 bool ChainMemory::seen_since(const PromptChain& chain, uint64_t weights, TimePoint now, Duration age) const {
@@ -145,7 +145,7 @@
 
 bool ChainMemory::surely_holds(const PromptChain& chain, uint64_t weights, TimePoint now) const {
   if (!followed(now)) {
-    return seen_since(chain, weights, now, kSurelyHeld);
+    return seen_since(chain, weights, now, kCertainHoldTime);
   }
   return held_tokens(chain, weights, now) >= shared_tokens(chain);
 }
--- a/src/placement/chain_memory.h
+++ b/src/placement/chain_memory.h
@@ -1,8 +1,9 @@
-/// What one cache of KV blocks, an engine's or a store's, holds of prompts, as far as a router knows.
+/// A router's estimate of which prompt parts a KV cache (of an engine or a store) holds.
 ///
-/// Two sources tell it: the router's own requests and those of other routers, at once but blind to what the
-/// cache drops; and the cache's own events, exact but a little late. While events come in they decide, and
-/// the first source only bridges their delay. Without them, what was seen counts for some seconds.
+/// There are two sources: requests sent by this and other routers, which are known at once but say nothing
+/// about evictions; and the cache's own events, which are exact but slightly delayed. While events arrive
+/// they are authoritative, and the first source only bridges their delay. Without events, an observation
+/// counts for a few seconds.
 #pragma once
 
 #include <cstdint>
@@ -14,89 +15,91 @@
 namespace stoat::placement {
 
 /// One part of a prompt.
-struct ChainLink {
-  uint64_t hash = 0;  ///< part_hash
+struct ChainPart {
+  uint64_t hash = 0;  ///< see part_hash()
   uint32_t tokens = 0;
 };
 
-/// The prompt of a request: a chain of parts. A cache can use a part when it holds all parts before it.
+/// The prompt of a request as a chain of parts. A cache can use a part only if it holds all preceding parts.
 struct PromptChain {
-  std::vector<ChainLink> links;  ///< the last one belongs to the request or its session alone
+  std::vector<ChainPart> links;  ///< the last one is private to the request or its session
   uint32_t prompt_tokens = 0;
 };
 
-/// Tokens of the parts that other prompts can share: all but the last.
+/// Returns the number of tokens in the parts that other prompts can share: all but the last.
 uint32_t shared_tokens(const PromptChain& chain);
 
-/// Identifies what a chain shares with others: the hash of its last shared part, or of its only part.
+/// Identifies what a chain shares with others: returns the hash of its last shared part, or of its only part.
 uint64_t shared_key(const PromptChain& chain);
 
-/// How long an engine without events is taken to hold a part that nobody uses.
+/// How long an engine without events is assumed to hold an unused part.
 inline constexpr Duration kHoldTime = 8s;
-/// The same of a store, which gets new shared parts only.
+/// The same for a store, which only receives new shared parts.
 inline constexpr Duration kStoreHoldTime = 20s;
-/// How long a prompt may take to be read before it is no longer counted on.
-inline constexpr Duration kPendingTime = 5s;
-/// Events reach a router within so long of the change: some 100 ms at the cache, as much on their way.
+/// How long after being sent a prompt counts as about to be cached.
+inline constexpr Duration kPendingTimeout = 5s;
+/// Upper bound on the time from a change in a cache to the arrival of its event at a router: about 100 ms at
+/// the cache and as much on the way.
 inline constexpr Duration kEventDelay = 1s;
-/// What a cache without events was seen to hold this recently it still holds.
-inline constexpr Duration kSurelyHeld = 2s;
+/// A cache without events is assumed to still hold parts that were observed this recently.
+inline constexpr Duration kCertainHoldTime = 2s;
 
-/// Until when events that one feed tells of caches count. Shared by all caches of the feed, so that a message
-/// of it renews them without a look at each.
+/// The time until which the cache events of one feed are valid. Shared by all caches of the feed, so that one
+/// message renews the validity for all of them.
 struct EventTrust {
   TimePoint until{0};
 };
 
-/// See the head of this file. Each part counts under the weights that made it.
+/// See the top of this file. Each part counts only for the version of the weights that computed it.
 class ChainMemory {
  public:
   explicit ChainMemory(Duration hold_time = kHoldTime) : hold_time_(hold_time) {}
 
-  /// The chain was sent to the engine, which is about to read it.
+  /// Records that a prompt was sent to the engine, which will compute its cache entries.
   void note_pending(const PromptChain& chain, uint64_t weights, TimePoint now);
-  /// The cache was seen to hold these parts.
-  void note_held(const std::vector<uint64_t>& links, uint64_t weights, TimePoint now);
-  /// What was noted as pending will not be read.
+  /// Records that the cache was observed to hold these parts.
+  void note_held(const std::vector<uint64_t>& parts, uint64_t weights, TimePoint now);
+  /// Records that a prompt noted as pending will not be processed.
   void drop_pending(const PromptChain& chain);
 
-  /// An event: the cache holds so many tokens of a part now.
-  void set_holding(uint64_t link, uint64_t weights, uint32_t tokens);
-  /// An event: the cache holds nothing of a part any more.
-  void drop_holding(uint64_t link);
-  /// Events come in for as long as `trust` says, which has to outlive this; nullptr: none come in.
+  /// Handles an event: the cache now holds `tokens` tokens of a part.
+  void set_holding(uint64_t part, uint64_t weights, uint32_t tokens);
+  /// Handles an event: the cache no longer holds anything of a part.
+  void drop_holding(uint64_t part);
+  /// Sets the validity of events, which must outlive this object; nullptr if no events arrive.
   void follow(const EventTrust* trust) { trust_ = trust; }
   bool followed(TimePoint now) const { return trust_ != nullptr && now < trust_->until; }
-  /// Forgets what events told.
+  /// Drops everything learned from events.
   void forget_holdings();
 
-  /// Tokens at the chain's beginning that the cache holds, or will once it has read what was sent to it.
+  /// Returns the number of leading tokens of the chain that the cache holds, or will hold once it has
+  /// processed the prompts sent to it.
   uint32_t cached_tokens(const PromptChain& chain, uint64_t weights, TimePoint now) const;
-  /// Tokens at the chain's beginning that the cache holds already.
+  /// Returns the number of leading tokens of the chain that the cache already holds.
   uint32_t held_tokens(const PromptChain& chain, uint64_t weights, TimePoint now) const;
-  /// True when all shared parts of the chain were seen no longer than `age` ago, events apart.
+  /// Returns whether all shared parts of the chain were observed within the last `age`. Ignores events.
   bool seen_since(const PromptChain& chain, uint64_t weights, TimePoint now, Duration age) const;
-  /// True when all shared parts of the chain are there almost certainly.
+  /// Returns whether the cache almost certainly holds all shared parts of the chain.
   bool surely_holds(const PromptChain& chain, uint64_t weights, TimePoint now) const;
 
  private:
   struct Entry {
     uint64_t weights = 0;
-    TimePoint seen_at{0};        ///< when it was last seen to be held; 0: never
-    TimePoint pending_until{0};  ///< 0: it is not being read
-    uint32_t tokens = 0;         ///< as the last event told
+    TimePoint seen_at{0};        ///< last time the part was observed in the cache; 0 if never
+    TimePoint pending_until{0};  ///< 0 if no pending prompt contains the part
+    uint32_t tokens = 0;         ///< according to the last event
     bool seen(TimePoint now, Duration age) const { return seen_at > TimePoint(0) && now - seen_at <= age; }
   };
-  Entry& entry_for(uint64_t link, uint64_t weights);
-  const Entry* find(uint64_t link, uint64_t weights) const;
-  uint32_t tokens_at_beginning(const PromptChain& chain, uint64_t weights, TimePoint now,
-                               bool with_pending) const;
-  uint32_t tokens_held(const ChainLink& link, const Entry* entry, TimePoint now) const;
-  void drop_old(TimePoint now);
+  Entry& entry_for(uint64_t part, uint64_t weights);
+  const Entry* find(uint64_t part, uint64_t weights) const;
+  uint32_t leading_tokens(const PromptChain& chain, uint64_t weights, TimePoint now,
+                          bool include_pending) const;
+  uint32_t tokens_held(const ChainPart& part, const Entry* entry, TimePoint now) const;
+  void evict_old(TimePoint now);
 
   Duration hold_time_;
-  const EventTrust* trust_ = nullptr;            ///< nullptr: control does not follow it
-  std::unordered_map<uint64_t, Entry> entries_;  ///< by part
+  const EventTrust* trust_ = nullptr;            ///< nullptr if the control plane does not follow the cache
+  std::unordered_map<uint64_t, Entry> entries_;  ///< by part hash
 };
 
 }  // namespace stoat::placement
--- a/src/placement/first_event_model.cc
+++ b/src/placement/first_event_model.cc
@@ -7,28 +7,29 @@
 
 namespace {
 
-/// What is left of older samples' weight after each new one. Engines: some ten sends, since a router sends to
-/// one engine seldom and it may turn slow at once. Services: some two hundred.
-constexpr double kEngineMemory = 0.9;
-constexpr double kServiceMemory = 0.995;
-/// Prompts of fewer tokens show the time that is not spent on reading.
-constexpr uint64_t kShortPrompt = 500;
-/// A first event that took more than so many times what was expected, and more than the allowance above it,
-/// counts as this much: engines that were frozen or lost say nothing about their speed.
-constexpr double kMostTimesExpected = 4;
+/// Factor by which the weight of older samples shrinks with each new one. For engines, about ten requests
+/// count, since a router sends to one engine rarely and its speed may drop suddenly. For services, about two
+/// hundred count.
+constexpr double kEngineDecay = 0.9;
+constexpr double kServiceDecay = 0.995;
+/// Prompts with fewer tokens are used to measure the time not spent on prefill.
+constexpr uint64_t kShortPromptTokens = 500;
+/// Upper bound on an observed time: this multiple of the expected time plus the allowance. Engines that froze
+/// or were lost say nothing about their speed.
+constexpr double kMaxExpectedRatio = 4;
 constexpr double kAllowanceMs = 100;
-/// Runs longer than so many times the mean count as that: streams that callers read slowly.
-constexpr double kMostTimesRun = 10;
+/// Upper bound on a run, as a multiple of the mean. Longer runs are streams that callers read slowly.
+constexpr double kMaxRunRatio = 10;
 
-double bounded(double observed_ms, double expected_ms) {
-  return std::min(observed_ms, kMostTimesExpected * expected_ms + kAllowanceMs);
+double limit_outlier(double observed_ms, double expected_ms) {
+  return std::min(observed_ms, kMaxExpectedRatio * expected_ms + kAllowanceMs);
 }
 
 }  // namespace
 
 void EngineSpeed::observe(double observed_ms, double expected_ms) {
-  observed_ms_ = kEngineMemory * observed_ms_ + bounded(observed_ms, expected_ms);
-  expected_ms_ = kEngineMemory * expected_ms_ + expected_ms;
+  observed_ms_ = kEngineDecay * observed_ms_ + limit_outlier(observed_ms, expected_ms);
+  expected_ms_ = kEngineDecay * expected_ms_ + expected_ms;
 }
 
 void ServiceSpeed::observe_first_event(const FirstEventSample& sample) {
@@ -36,28 +37,29 @@
     return;
   }
   const uint64_t tokens = sample.waiting_tokens + sample.own_tokens;
-  const double observed_ms = bounded(sample.observed_ms, idle_ms(tokens));
-  if (tokens < kShortPrompt) {
+  const double observed_ms = limit_outlier(sample.observed_ms, idle_ms(tokens));
+  if (tokens < kShortPromptTokens) {
     const double reading_ms = static_cast<double>(tokens) * ms_per_token();
-    base_ms_.add(std::max(0.0, observed_ms - reading_ms), kServiceMemory);
+    base_ms_.add(std::max(0.0, observed_ms - reading_ms), kServiceDecay);
     return;
   }
-  // Sums, not means of ratios: a long prompt shows the speed better than many of middle length.
-  read_tokens_ = kServiceMemory * read_tokens_ + static_cast<double>(tokens);
-  reading_ms_ = kServiceMemory * reading_ms_ + std::max(0.0, observed_ms - base_ms());
+  // Sums are kept instead of a mean of ratios, because a long prompt shows the speed better than many of
+  // medium length.
+  prefilled_tokens_ = kServiceDecay * prefilled_tokens_ + static_cast<double>(tokens);
+  prefill_ms_ = kServiceDecay * prefill_ms_ + std::max(0.0, observed_ms - base_ms());
 }
 
 void ServiceSpeed::observe_run(double slot_ms) {
-  run_ms_.add(std::min(slot_ms, kMostTimesRun * run_ms()), kServiceMemory);
+  run_ms_.add(std::min(slot_ms, kMaxRunRatio * run_ms()), kServiceDecay);
 }
 
 void ServiceSpeed::note_answer(double expected_ms) {
-  long_answer_ms_ = std::max(expected_ms, kServiceMemory * long_answer_ms_);
+  long_answer_ms_ = std::max(expected_ms, kServiceDecay * long_answer_ms_);
 }
 
 double present_outstanding(const EngineQueue& queue, double run_ms) {
-  const double still_known = std::exp(-to_seconds(queue.age) * 1000 / std::max(1.0, run_ms));
-  const double others = queue.others_outstanding * still_known + queue.usual_others * (1 - still_known);
+  const double still_valid = std::exp(-to_seconds(queue.age) * 1000 / std::max(1.0, run_ms));
+  const double others = queue.others_outstanding * still_valid + queue.usual_others * (1 - still_valid);
   return queue.own_outstanding + others;
 }
 
@@ -66,11 +68,12 @@
   FirstEventForecast forecast;
   const double slowness = engine.slowness();
   const double slots = std::max(1U, queue.slots);
-  // A full engine frees a slot each run_ms / slots; with k requests waiting it takes k + 1 of them.
-  const double ahead = present_outstanding(queue, service.run_ms()) - slots + 1;
-  forecast.slot_wait_ms = std::max(0.0, ahead) * service.run_ms() * slowness / slots;
+  // A full engine frees a slot every run_ms / slots; with k requests waiting, the next one needs k + 1 of
+  // them.
+  const double slots_needed = present_outstanding(queue, service.run_ms()) - slots + 1;
+  forecast.slot_wait_ms = std::max(0.0, slots_needed) * service.run_ms() * slowness / slots;
   const double ms_per_token = service.ms_per_token() * slowness;
-  forecast.reading_wait_ms = static_cast<double>(queue.waiting_tokens) * ms_per_token;
+  forecast.prefill_wait_ms = static_cast<double>(queue.waiting_tokens) * ms_per_token;
   forecast.reading_ms = static_cast<double>(missing_tokens) * ms_per_token;
   forecast.base_ms = service.base_ms() * slowness;
   return forecast;
--- a/src/placement/part_placement.h
+++ b/src/placement/part_placement.h
@@ -1,10 +1,11 @@
-/// Chooses the engine for a prompt of named parts: the one with the lowest expected time to the first token.
+/// Chooses the engine for a prompt with named parts: the one with the lowest expected time to the first
+/// token.
 ///
-/// Without any state a chain of shared parts belongs to the engine that comes first in rendezvous order among
-/// those with the same weights, so all routers send it to the same place. On top of that come what the
-/// routers know to be held where, the work that waits at each engine, and the version of its weights. To move
-/// KV cache takes some milliseconds, to read a long prompt some hundred: a holder serves as the source for
-/// any other engine.
+/// Without further knowledge, a chain of shared parts is assigned by rendezvous hashing to one of the engines
+/// with the same weights (its home), so all routers choose the same one. On top of this, the choice considers
+/// what the caches are known to hold, the work waiting at each engine, and the version of its weights.
+/// Transferring KV cache takes a few milliseconds and computing a long prompt a few hundred, so an engine
+/// that holds the parts can serve as the source for any other engine.
 #pragma once
 
 #include <cstdint>
@@ -15,62 +16,64 @@
 
 #include "src/common/time.h"
 #include "src/placement/chain_memory.h"
-#include "src/placement/move_costs.h"
+#include "src/placement/transfer_costs.h"
 #include "src/topology/topology.h"
 
 namespace stoat::placement {
 
-/// What placement sees of one engine.
+/// What placement knows about one engine.
 struct EngineView {
   uint64_t name_hash = 0;
   const ChainMemory* memory = nullptr;
   uint64_t weights = 0;      ///< version of its weights for the chain's model
-  uint32_t outstanding = 0;  ///< requests under way there, of all routers as far as known
+  uint32_t outstanding = 0;  ///< requests in flight there, from all routers as far as known
   uint32_t slots = 1;
-  double ms_per_token = 0;  ///< that it reads, as far as known
-  double wait_ms = 0;       ///< until it would begin to read a request that is sent now
+  double ms_per_token = 0;  ///< estimated prefill time per token
+  double wait_ms = 0;       ///< until a request sent now would begin to be processed
   topology::Place place;
   topology::Distance distance = topology::Distance::kSameRegion;  ///< from this router
-  bool old_weights = false;                                       ///< a newer version is named
-  bool candidate = true;                                          ///< may get the request
-  bool sound = true;                                              ///< may be a source of KV cache
+  bool old_weights = false;  ///< a newer version of the weights is available
+  bool candidate = true;     ///< may receive the request
+  bool sound = true;         ///< may be a source of KV cache
 };
 
-/// The store that a chain belongs to.
+/// The store that is responsible for a chain.
 struct StoreView {
   const ChainMemory* memory = nullptr;
   topology::Place place;
 };
 
-/// What the way to an engine is worth, in milliseconds: the time there and back, and what the bytes cost.
-struct WayCosts {
-  double other_zone_ms = 2.0;
-  /// 40 ms on the way at the distances meant, and the link between regions is narrow.
-  double other_region_ms = 60.0;
+/// The cost of the distance to an engine, in milliseconds: the round trip, and the price of the bytes.
+struct DistanceCosts {
+  double cross_zone_ms = 2.0;
+  /// The network takes 40 ms at the intended distances, and the link between regions has little bandwidth.
+  double cross_region_ms = 60.0;
   double ms(topology::Distance distance) const;
 };
 
-/// Assumed costs, in milliseconds. What engines show of themselves comes with the EngineView.
+/// Assumed costs, in milliseconds. Measured properties of engines are passed in EngineView.
 struct PlacementCosts {
   double per_outstanding_ms = 1.0;
   double old_weights_ms = 120.0;
-  WayCosts ways;
-  MoveCosts moves;
-  /// For each token of shared parts that the engine gets a copy of: the copy pushes other parts out.
+  DistanceCosts ways;
+  TransferCosts moves;
+  /// Per token of shared parts that would be copied to the engine: a copy evicts other parts.
   double copy_ms_per_token = 0.03;
-  double reread_ms_per_token = 0.1;  ///< what it is worth not to read again what another engine holds
+  /// Per token: the benefit of not computing again what another engine holds.
+  double recompute_ms_per_token = 0.1;
 };
 
-/// Where a request goes, and where its engine takes KV cache from.
+/// The chosen engine, and the source of its KV cache.
 struct Placement {
   size_t target = 0;
   std::optional<size_t> source;
-  bool from_store = false;      ///< the store holds more than any engine
-  bool store_pays = false;      ///< to take all shared parts from the store would pay
-  uint32_t missing_tokens = 0;  ///< that the target has to read itself
+  bool from_store = false;      ///< the source is the store, which holds more than any engine
+  bool store_pays = false;      ///< transferring all shared parts from the store would be worthwhile
+  uint32_t missing_tokens = 0;  ///< number of tokens that the target has to compute itself
 };
 
-/// The best placement; at least one of `engines` must be a candidate. `store` is nullptr when there is none.
+/// Returns the best placement. At least one of `engines` must be a candidate. `store` is nullptr if there is
+/// none.
 Placement place(const PromptChain& chain, const std::vector<EngineView>& engines, const StoreView* store,
                 const PlacementCosts& costs, TimePoint now);
 
--- a/src/placement/plain_placement.cc
+++ b/src/placement/plain_placement.cc
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// Weight of the newest answer in the mean time of work.
+/// Weight of the newest response in the moving average of the call duration.
 constexpr double kNewestWeight = 0.05;
-/// What is known of other routers' requests is some 100 ms old: the fuller an engine, the likelier its last
-/// slots are taken when the request arrives. With this power a third of the slots taken counts for little.
+/// The number of other routers' requests is known with a delay of about 100 ms, so the fuller an engine is,
+/// the more likely its last slots are taken when the request arrives. With this exponent, an engine with a
+/// third of its slots taken counts as nearly free.
 constexpr double kFullRiskPower = 4;
 
 }  // namespace
 
 void WorkTime::observe(double taken_ms) { ms_ += kNewestWeight * (std::max(0.0, taken_ms) - ms_); }
 
-double expected_wait_ms(uint32_t outstanding, uint32_t slots, double work_ms) {
-  const double places = std::max(1U, slots);
-  const double next_free_ms = work_ms / places;
-  if (outstanding >= places) {
-    return (outstanding - places + 1) * next_free_ms;
+double expected_wait_ms(uint32_t outstanding, uint32_t slots, double mean_call_ms) {
+  const double slot_count = std::max(1U, slots);
+  const double next_free_ms = mean_call_ms / slot_count;
+  if (outstanding >= slot_count) {
+    return (outstanding - slot_count + 1) * next_free_ms;
   }
-  return std::pow(outstanding / places, kFullRiskPower) * next_free_ms;
+  return std::pow(outstanding / slot_count, kFullRiskPower) * next_free_ms;
 }
 
-size_t choose_nearest(const std::vector<EngineView>& engines, double work_ms, const WayCosts& ways,
-                      uint64_t random) {
+size_t choose_nearest(const std::vector<EngineView>& engines, double mean_call_ms,
+                      const DistanceCosts& distance_costs, uint64_t random) {
   std::optional<size_t> best;
   double best_ms = 0;
   for (size_t step = 0; step < engines.size(); ++step) {
@@ -38,7 +39,7 @@
       continue;
     }
     const double expected_ms =
-        ways.ms(engine.distance) + expected_wait_ms(engine.outstanding, engine.slots, work_ms);
+        distance_costs.ms(engine.distance) + expected_wait_ms(engine.outstanding, engine.slots, mean_call_ms);
     if (!best || expected_ms < best_ms) {
       best = position;
       best_ms = expected_ms;
--- a/src/placement/plain_placement.h
+++ b/src/placement/plain_placement.h
@@ -1,5 +1,5 @@
-/// Chooses the engine for a call without a prompt: the one that is expected to answer first, by the way there
-/// and the wait for one of its slots. Load spills to engines farther away only once that is sooner.
+/// Chooses the engine for a call without a prompt: the one expected to answer first, considering its distance
+/// and the wait for a slot. Calls go to more distant engines only when that is faster.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,22 @@
 
 namespace stoat::placement {
 
-/// How long the calls of a service take at an engine with a free slot, learned from answers.
+/// The mean duration of a service's calls at an engine with a free slot, learned from responses.
 class WorkTime {
  public:
   void observe(double taken_ms);
   double ms() const { return ms_; }
 
  private:
-  double ms_ = 50;  ///< until answers tell
+  double ms_ = 50;  ///< initial value
 };
 
-/// The wait for a slot that is expected at an engine, in milliseconds.
-double expected_wait_ms(uint32_t outstanding, uint32_t slots, double work_ms);
+/// Returns the expected wait for a slot at an engine, in milliseconds.
+double expected_wait_ms(uint32_t outstanding, uint32_t slots, double mean_call_ms);
 
-/// The candidate with the shortest way and wait, at random among equals; 0 when there is none.
-size_t choose_nearest(const std::vector<EngineView>& engines, double work_ms, const WayCosts& ways,
-                      uint64_t random);
+/// Returns the index of the candidate with the lowest cost of distance and wait, chosen at random among
+/// equals; 0 if there is no candidate.
+size_t choose_nearest(const std::vector<EngineView>& engines, double mean_call_ms,
+                      const DistanceCosts& distance_costs, uint64_t random);
 
 }  // namespace stoat::placement
--- a/src/routing/route_table.cc
+++ b/src/routing/route_table.cc
@@ -14,11 +14,11 @@
   return result;
 }
 
-/// The host name of a Host header, without its port.
+/// Returns the host name of a Host header, without its port.
 std::string_view without_port(std::string_view host) {
   const size_t colon = host.rfind(':');
-  const bool port = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
-  return port ? host.substr(0, colon) : host;
+  const bool has_port = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
+  return has_port ? host.substr(0, colon) : host;
 }
 
 }  // namespace
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -1,4 +1,5 @@
-/// Finds the route of a request by host and path, and the tenant of a key. Built once for each configuration.
+/// Finds the route of a request by host and path, and the tenant of an access key. Built once per
+/// configuration.
 #pragma once
 
 #include <memory>
@@ -11,37 +12,37 @@
 
 namespace stoat::routing {
 
-/// See the head of this file.
+/// See the top of this file.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const fleet::FleetConfiguration> configuration);
 
-  /// The route of the host whose prefix begins the path and is the longest; nullptr when there is none.
+  /// Returns the route of the host with the longest prefix that matches the path; nullptr if there is none.
   const fleet::Route* find(std::string_view host, std::string_view target) const;
-  /// The holder of a key, or nullptr.
+  /// Returns the tenant that owns an access key, or nullptr.
   const fleet::Tenant* tenant_of_key(const std::string& key) const;
   const fleet::Service* service(const std::string& name) const;
-  /// The store at an address; nullptr when there is none.
+  /// Returns the store at an address; nullptr if there is none.
   const fleet::Service* store_at(const std::string& address) const;
   const fleet::FleetConfiguration& configuration() const { return *configuration_; }
   bool has_tenants() const { return !configuration_->tenants.empty(); }
-  /// True when any tenant has a quota.
+  /// Returns whether any tenant has a quota.
   bool has_quotas() const { return has_quotas_; }
 
  private:
   std::shared_ptr<const fleet::FleetConfiguration> configuration_;
   bool has_quotas_ = false;
-  /// By host in lower case; the longest prefix first.
+  /// By host in lower case; routes with longer path prefixes come first.
   std::unordered_map<std::string, std::vector<const fleet::Route*>> by_host_;
   std::unordered_map<std::string, const fleet::Tenant*> by_key_;
   std::unordered_map<std::string, const fleet::Service*> by_service_;
 };
 
-/// Gives the requests of a split to its services by smooth weighted round robin, so that each part gets its
-/// share within any few requests.
+/// Distributes the requests of a traffic split over its services by smooth weighted round robin, so that each
+/// service gets its share even over a few requests.
 class SplitChooser {
  public:
-  /// The service for the next request of a route with several shares.
+  /// Returns the service for the next request of a route.
   const std::string& choose(const fleet::Route& route);
 
  private:
--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -1,4 +1,5 @@
-/// The expected time to the first event, against fake engines under a load of long and short prompts.
+/// Forecasts of the time to the first event, compared with fake engines under a load of long and short
+/// prompts.
 #include "src/placement/first_event_model.h"
 
 #include <gtest/gtest.h>
@@ -19,31 +20,31 @@
 
 constexpr size_t kSlots = 16;
 constexpr double kFastTokensPerMs = 93;
-/// A third of the engines runs so many times as long.
-constexpr double kSlowness = 1.3;
+/// Factor by which every third engine is slower.
+constexpr double kSlowEngineFactor = 1.3;
 constexpr size_t kEngines = 12;
 constexpr double kAnswerMs = 250;
-/// One long prompt to 22 short ones, as the sheets have it.
+/// One long prompt per 22 short ones, as in the load profiles.
 constexpr double kLongShare = 0.044;
 constexpr double kLongTokens = 3720;
 constexpr double kShortTokens = 291;
 
 bool is_slow(size_t engine) { return engine % 3 == 0; }
 
-/// A router's sends, their forecasts, and what the engines then did.
+/// Simulates the requests of a router, their forecasts, and what the engines then do.
 class Replay {
  public:
   Replay(double per_second, uint64_t seed) : per_second_(per_second), random_(seed) {
     for (size_t engine = 0; engine < kEngines; ++engine) {
-      engines_.emplace_back(kSlots, kFastTokensPerMs / (is_slow(engine) ? kSlowness : 1));
+      engines_.emplace_back(kSlots, kFastTokensPerMs / (is_slow(engine) ? kSlowEngineFactor : 1));
     }
   }
 
-  /// Plays the time in milliseconds and keeps the errors from `measured_from` on.
+  /// Runs the simulation up to `until_ms` and records forecast errors from `measured_from_ms` on.
   void play(double until_ms, double measured_from_ms) {
     while (now_ms_ < until_ms) {
       now_ms_ += random_.exponential(1000 / per_second_);
-      learn();
+      observe_completed();
       send(now_ms_ >= measured_from_ms);
     }
   }
@@ -61,15 +62,15 @@
   const ServiceSpeed& service() const { return service_; }
 
  private:
-  struct Sent {
-    double due_ms = 0;
+  struct SentRequest {
+    double first_event_at_ms = 0;
     size_t engine = 0;
     uint64_t waiting_tokens = 0;
     uint64_t own_tokens = 0;
     bool slot_free = false;
     double sent_ms = 0;
     double end_ms = 0;
-    bool operator>(const Sent& other) const { return due_ms > other.due_ms; }
+    bool operator>(const SentRequest& other) const { return first_event_at_ms > other.first_event_at_ms; }
   };
   static double median(std::vector<double>& values) {
     std::sort(values.begin(), values.end());
@@ -95,10 +96,11 @@
       constant_errors_.push_back(std::abs(run.first_event_ms - now_ms_ - constant));
     }
   }
-  void learn() {
-    for (; !sent_.empty() && sent_.top().due_ms <= now_ms_; sent_.pop()) {
-      const Sent& sent = sent_.top();
-      const FirstEventSample sample{sent.waiting_tokens, sent.own_tokens, sent.due_ms - sent.sent_ms};
+  void observe_completed() {
+    for (; !sent_.empty() && sent_.top().first_event_at_ms <= now_ms_; sent_.pop()) {
+      const SentRequest& sent = sent_.top();
+      const FirstEventSample sample{sent.waiting_tokens, sent.own_tokens,
+                                    sent.first_event_at_ms - sent.sent_ms};
       if (!sent.slot_free) {
         continue;
       }
@@ -116,12 +118,12 @@
   std::vector<FakeEngine> engines_;
   std::vector<EngineSpeed> speeds_ = std::vector<EngineSpeed>(kEngines);
   ServiceSpeed service_;
-  std::priority_queue<Sent, std::vector<Sent>, std::greater<>> sent_;
+  std::priority_queue<SentRequest, std::vector<SentRequest>, std::greater<>> sent_;
   std::vector<double> errors_;
   std::vector<double> constant_errors_;
 };
 
-TEST(FirstEventModel, LearnsTheSpeedOfAServiceAndOfItsSlowEngines) {
+TEST(FirstEventModel, LearnsSpeedOfServiceAndOfSlowEngines) {
   Replay replay(400, 1);
   replay.play(30000, 20000);
   EXPECT_NEAR(1 / replay.service().ms_per_token(), kFastTokensPerMs / 1.1, 25);
@@ -129,8 +131,8 @@
   EXPECT_GT(replay.mean_slowness(true), replay.mean_slowness(false));
 }
 
-TEST(FirstEventModel, ExpectsBetterThanConstantsBelowAndAboveTheSlots) {
-  // 12 engines of 16 slots end some 700 such requests a second.
+TEST(FirstEventModel, PredictsBetterThanConstantsBelowAndAboveCapacity) {
+  // 12 engines with 16 slots complete about 700 such requests per second.
   for (const double per_second : {200.0, 600.0, 780.0}) {
     Replay replay(per_second, 2);
     replay.play(20000, 8000);
@@ -138,7 +140,7 @@
   }
 }
 
-TEST(FirstEventModel, AFullEngineIsExpectedToFreeSlotsOneAfterTheOther) {
+TEST(FirstEventModel, FullEngineIsExpectedToFreeSlotsOneByOne) {
   const ServiceSpeed service;
   const EngineSpeed engine;
   EngineQueue queue;
@@ -151,7 +153,7 @@
   EXPECT_DOUBLE_EQ(expect_first_event(service, engine, queue, 0).slot_wait_ms, service.run_ms());
 }
 
-TEST(FirstEventModel, OldNewsCountLessAndLessInFavourOfTheMean) {
+TEST(FirstEventModel, OlderReportsLoseWeightAgainstTheMean) {
   EngineQueue queue;
   queue.others_outstanding = 30;
   queue.usual_others = 6;
@@ -164,7 +166,7 @@
   EXPECT_NEAR(present_outstanding(queue, 300), 8, 0.01);
 }
 
-TEST(FirstEventModel, AFrozenEngineDoesNotSpoilTheSpeedOfItsService) {
+TEST(FirstEventModel, FrozenEngineDoesNotDistortServiceSpeed) {
   ServiceSpeed service;
   for (int sample = 0; sample < 100; ++sample) {
     service.observe_first_event({0, 10000, 15 + 10000 / kFastTokensPerMs});
@@ -174,7 +176,7 @@
   EXPECT_LT(service.ms_per_token(), before * 1.15);
 }
 
-TEST(FirstEventModel, OneLateEventOfAFastEngineSaysLittle) {
+TEST(FirstEventModel, SingleLateEventHasLittleEffectOnFastEngine) {
   EngineSpeed engine;
   for (int send = 0; send < 100; ++send) {
     engine.observe(1, 1);
@@ -188,7 +190,7 @@
   EXPECT_GT(slow.slowness(), 2.3);
 }
 
-TEST(FirstEventModel, AFullEngineWithoutTheSharedPartGetsNothingThatAnotherWithRoomReadsSooner) {
+TEST(FirstEventModel, BusyEngineWithoutSharedPartLosesToFasterEngine) {
   PromptChain chain;
   chain.links = {{1, 2000}, {2, 500}};
   chain.prompt_tokens = 2500;
