--- a/src/control/cache_assignment.h
+++ b/src/control/cache_assignment.h
@@ -1,6 +1,7 @@
-/// Which control member follows which cache, and hears which back end: the nearest one, so that events and
-/// heartbeats cross no zone where they need not; of several that are as near one by rendezvous order. All
-/// members that hear the same members come to the same result.
+/// Assigns each KV cache and each backend to one control member: the member that reads the cache's events and
+/// receives the backend's heartbeats. The nearest member is chosen, so that events and heartbeats do not
+/// cross zones needlessly; rendezvous hashing decides between equally near ones. Members that see the same
+/// live members compute the same assignment.
 #pragma once
 
 #include <string>
@@ -10,14 +11,15 @@
 
 namespace stoat::control {
 
-/// A control member that is heard.
+/// A control member that is currently reachable.
 struct LiveMember {
-  std::string address;  ///< internal; identifies it
+  std::string address;  ///< of the internal protocol; identifies the member
   std::string zone;
   bool operator==(const LiveMember&) const = default;
 };
 
-/// The address of the member that is to follow a cache, or to hear a back end; empty when there is none.
+/// The address of the member responsible for a cache or a backend; empty when `members` is empty. `holder`:
+/// id of the backend, or address of the KV store. `zone`: where the holder runs.
 std::string follower_of(const std::string& holder, const std::string& zone,
                         const std::vector<LiveMember>& members, const topology::Topology& topology);
 
--- a/src/control/cache_duty.cc
+++ b/src/control/cache_duty.cc
@@ -4,51 +4,52 @@
 
 bool CacheDuty::update(const BackendTable& backends, const StoreZones& stores,
                        const std::vector<LiveMember>& members, TimePoint now) {
-  const bool all = members != members_ || stores != stores_ || !backends.reaches(revision_) ||
-                   chosen_all_at_ == TimePoint(0) || now - chosen_all_at_ > kFullLook;
-  if (all) {
+  const bool full = members != members_ || stores != stores_ || !backends.reaches(revision_) ||
+                    last_full_evaluation_ == TimePoint(0) ||
+                    now - last_full_evaluation_ > kFullEvaluationInterval;
+  if (full) {
     members_ = members;
     stores_ = stores;
-    chosen_all_at_ = now;
-    choose_all(backends);
+    last_full_evaluation_ = now;
+    evaluate_all(backends);
     return true;
   }
-  const auto look = [&](const std::string& id, const fleet::BackendRecord* record) {
+  const auto apply_change = [&](const std::string& id, const fleet::BackendRecord* record) {
     if (record != nullptr) {
-      consider_backend(id, *record);
-    } else if (known_.erase(id) > 0) {
-      mine_.erase(id);
-      gone_.push_back(id);
+      evaluate_backend(id, *record);
+    } else if (holders_.erase(id) > 0) {
+      assigned_.erase(id);
+      removed_.push_back(id);
     }
   };
-  revision_ = backends.visit_since(revision_, SIZE_MAX, look);
+  revision_ = backends.visit_since(revision_, SIZE_MAX, apply_change);
   return false;
 }
 
-void CacheDuty::choose_all(const BackendTable& backends) {
-  known_.clear();
-  mine_.clear();
-  gone_.clear();
+void CacheDuty::evaluate_all(const BackendTable& backends) {
+  holders_.clear();
+  assigned_.clear();
+  removed_.clear();
   for (const auto& [address, zone] : stores_) {
-    consider(address, address, zone, true);
+    evaluate(address, address, zone, true);
   }
   backends.visit_all(
-      [&](const std::string& id, const fleet::BackendRecord& record) { consider_backend(id, record); });
+      [&](const std::string& id, const fleet::BackendRecord& record) { evaluate_backend(id, record); });
   revision_ = backends.revision();
 }
 
-void CacheDuty::consider_backend(const std::string& id, const fleet::BackendRecord& record) {
-  if (!record.models.empty() && known_.count(id) == 0) {
-    consider(id, record.address, record.zone, false);
+void CacheDuty::evaluate_backend(const std::string& id, const fleet::BackendRecord& record) {
+  if (!record.models.empty() && holders_.count(id) == 0) {
+    evaluate(id, record.address, record.zone, false);
   }
 }
 
-void CacheDuty::consider(const std::string& holder, const std::string& address, const std::string& zone,
+void CacheDuty::evaluate(const std::string& holder, const std::string& address, const std::string& zone,
                          bool store) {
-  ++looked_at_;
-  known_.insert(holder);
+  ++evaluations_;
+  holders_.insert(holder);
   if (follower_of(holder, zone, members_, topology_) == self_) {
-    mine_[holder] = {address, store};
+    assigned_[holder] = {address, store};
   }
 }
 
--- a/src/control/cache_duty.h
+++ b/src/control/cache_duty.h
@@ -1,6 +1,7 @@
-/// Which caches of the fleet this member is to follow. Keeps the choice, and looks anew only at back ends
-/// that have come or gone, so that what it costs follows the changes of the fleet and not its size: to choose
-/// among 10,000 caches anew ten times a second took a member a third of a core. Free of I/O.
+/// The caches that this member is assigned to follow. The assignment is updated incrementally: only backends
+/// that were added or removed are evaluated, so that the cost depends on the number of changes and not on the
+/// size of the fleet. Evaluating all of 10,000 caches ten times a second took a member a third of a core.
+/// Performs no I/O.
 #pragma once
 
 #include <map>
@@ -16,52 +17,53 @@
 
 namespace stoat::control {
 
-/// A cache that this member is to follow.
-struct CacheToFollow {
+/// A cache assigned to this member.
+struct AssignedCache {
   std::string address;
   bool store = false;
 };
 
-/// See the head of this file.
+/// Maintains the set of caches assigned to this member.
 class CacheDuty {
  public:
   using BackendTable = fleet::RevisionTable<std::string, fleet::BackendRecord>;
-  using StoreZones = std::map<std::string, std::string>;  ///< zones of stores, by address
+  using StoreZones = std::map<std::string, std::string>;  ///< zone of each store, by address
 
   CacheDuty(std::string self, topology::Topology topology)
       : self_(std::move(self)), topology_(std::move(topology)) {}
 
-  /// Takes the present state of the fleet. Returns true when all caches were looked at.
+  /// Updates the assignment to the current state of the fleet. Returns true when all caches were
+  /// re-evaluated.
   bool update(const BackendTable& backends, const StoreZones& stores, const std::vector<LiveMember>& members,
               TimePoint now);
-  /// Back ends that have gone since the last call.
-  std::vector<std::string> take_gone() { return std::exchange(gone_, {}); }
-  /// True for a cache of the fleet, whoever is to follow it.
-  bool knows(const std::string& holder) const { return known_.count(holder) > 0; }
-  /// By holder: id of a back end, or address of a store.
-  const std::map<std::string, CacheToFollow>& mine() const { return mine_; }
-  /// Choices made since the start.
-  uint64_t looked_at() const { return looked_at_; }
+  /// Ids of the backends removed since the last call. A re-evaluation of all caches clears them.
+  std::vector<std::string> take_gone() { return std::exchange(removed_, {}); }
+  /// True for any cache of the fleet, whichever member follows it.
+  bool knows(const std::string& holder) const { return holders_.count(holder) > 0; }
+  /// The caches assigned to this member, by holder: id of a backend, or address of a store.
+  const std::map<std::string, AssignedCache>& mine() const { return assigned_; }
+  /// Number of caches evaluated since the start.
+  uint64_t evaluations() const { return evaluations_; }
 
  private:
-  /// A choice that nothing has changed is made anew after so long all the same: what other members told of
-  /// back ends that never came to this one is then dropped.
-  static constexpr Duration kFullLook = 30s;
+  /// All caches are re-evaluated at least this often, even if nothing has changed. The owner of this object
+  /// then drops what other members reported about backends that are unknown to this member.
+  static constexpr Duration kFullEvaluationInterval = 30s;
 
-  void choose_all(const BackendTable& backends);
-  void consider(const std::string& holder, const std::string& address, const std::string& zone, bool store);
-  void consider_backend(const std::string& id, const fleet::BackendRecord& record);
+  void evaluate_all(const BackendTable& backends);
+  void evaluate(const std::string& holder, const std::string& address, const std::string& zone, bool store);
+  void evaluate_backend(const std::string& id, const fleet::BackendRecord& record);
 
   std::string self_;
   topology::Topology topology_;
   std::vector<LiveMember> members_;
   StoreZones stores_;
-  uint64_t revision_ = 0;  ///< of the back ends' table
-  TimePoint chosen_all_at_{0};
-  std::unordered_set<std::string> known_;  ///< all holders
-  std::vector<std::string> gone_;
-  std::map<std::string, CacheToFollow> mine_;  ///< by holder
-  uint64_t looked_at_ = 0;
+  uint64_t revision_ = 0;  ///< last processed revision of the backend table
+  TimePoint last_full_evaluation_{0};
+  std::unordered_set<std::string> holders_;  ///< of all caches
+  std::vector<std::string> removed_;
+  std::map<std::string, AssignedCache> assigned_;  ///< by holder
+  uint64_t evaluations_ = 0;
 };
 
 }  // namespace stoat::control
--- a/src/control/cache_mirror.cc
+++ b/src/control/cache_mirror.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Shared parts remembered; beyond that all are forgotten, and told anew as routers see them.
-constexpr size_t kMaxShared = 200000;
+/// Maximum number of shared parts tracked. When there are more, all marks are dropped; parts are marked again
+/// as routers report them.
+constexpr size_t kMaxSharedParts = 200000;
 
 }  // namespace
 
@@ -25,56 +26,56 @@
   cache.epoch = changes.epoch;
   cache.next_event = changes.next_event;
   if (changes.anew) {
-    clear(changes.holder, cache);
+    remove_parts(changes.holder, cache);
   }
   for (const fleet::PartHolding& holding : changes.holdings) {
-    hold(changes.holder, cache, holding);
+    set_holding(changes.holder, cache, holding);
   }
-  heads_.set(changes.holder, {changes.store, changes.followed});
+  statuses_.set(changes.holder, {changes.store, changes.followed});
   return true;
 }
 
-void CacheMirror::hold(const std::string& holder, Cache& cache, const fleet::PartHolding& holding) {
+void CacheMirror::set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding) {
   const auto known = cache.parts.find(holding.part);
   if (known != cache.parts.end() && holding.weights < known->second.weights) {
-    return;  // a store drops parts of old weights long after it got those of new ones
+    return;  // a store drops parts of old weights long after it received those of new weights
   }
   if (holding.tokens == 0) {
     cache.parts.erase(holding.part);
-    holdings_.erase({holder, holding.part});
-    forget_unshared(holder, holding.part);
+    shared_holdings_.erase({holder, holding.part});
+    remove_unshared_holder(holder, holding.part);
     return;
   }
   cache.parts[holding.part] = holding;
   if (shared(holding.part)) {
-    holdings_.set({holder, holding.part}, holding);
+    shared_holdings_.set({holder, holding.part}, holding);
   } else {
     unshared_holders_[holding.part].insert(holder);
   }
 }
 
-void CacheMirror::forget_unshared(const std::string& holder, uint64_t part) {
+void CacheMirror::remove_unshared_holder(const std::string& holder, uint64_t part) {
   const auto holders = unshared_holders_.find(part);
   if (holders != unshared_holders_.end() && holders->second.erase(holder) > 0 && holders->second.empty()) {
     unshared_holders_.erase(holders);
   }
 }
 
-void CacheMirror::clear(const std::string& holder, Cache& cache) {
+void CacheMirror::remove_parts(const std::string& holder, Cache& cache) {
   for (const auto& [part, holding] : cache.parts) {
-    holdings_.erase({holder, part});
-    forget_unshared(holder, part);
+    shared_holdings_.erase({holder, part});
+    remove_unshared_holder(holder, part);
   }
   cache.parts.clear();
 }
 
 std::vector<uint64_t> CacheMirror::note_shared(const std::vector<uint64_t>& parts) {
-  if (shared_.size() > kMaxShared) {
-    forget_shared();
+  if (shared_parts_.size() > kMaxSharedParts) {
+    reset_shared_parts();
   }
   std::vector<uint64_t> added;
   for (const uint64_t part : parts) {
-    if (!shared_.insert(part).second) {
+    if (!shared_parts_.insert(part).second) {
       continue;
     }
     added.push_back(part);
@@ -83,22 +84,24 @@
       continue;
     }
     for (const std::string& holder : holders->second) {
-      holdings_.set({holder, part}, caches_.at(holder).parts.at(part));
+      shared_holdings_.set({holder, part}, caches_.at(holder).parts.at(part));
     }
     unshared_holders_.erase(holders);
   }
   return added;
 }
 
-void CacheMirror::forget_shared() {
-  shared_.clear();
+void CacheMirror::reset_shared_parts() {
+  shared_parts_.clear();
   for (auto& [holder, cache] : caches_) {
     if (cache.follower != self_) {
-      clear(holder, cache);  // its follower tells anew what is shared, and does not tell what it drops before
+      // The follower will report shared parts again once they are marked, but not what the cache drops before
+      // that. Its parts are therefore removed here.
+      remove_parts(holder, cache);
       continue;
     }
     for (const auto& [part, holding] : cache.parts) {
-      holdings_.erase({holder, part});
+      shared_holdings_.erase({holder, part});
       unshared_holders_[part].insert(holder);
     }
   }
@@ -110,7 +113,7 @@
     return false;
   }
   return std::all_of(placement.links.begin(), placement.links.end(), [&](uint64_t part) {
-    const fleet::PartHolding* held = holdings_.find({placement.holder, part});
+    const fleet::PartHolding* held = shared_holdings_.find({placement.holder, part});
     return held != nullptr && held->weights >= placement.weights;
   });
 }
@@ -119,7 +122,7 @@
   for (auto& [holder, cache] : caches_) {
     if (cache.follower == follower && cache.followed) {
       cache.followed = false;
-      heads_.set(holder, {cache.store, false});
+      statuses_.set(holder, {cache.store, false});
     }
   }
 }
@@ -129,19 +132,19 @@
   if (known == caches_.end()) {
     return;
   }
-  clear(holder, known->second);
-  heads_.erase(holder);
+  remove_parts(holder, known->second);
+  statuses_.erase(holder);
   caches_.erase(known);
 }
 
 void CacheMirror::keep(const std::function<bool(const std::string&)>& wanted) {
-  std::vector<std::string> others;
+  std::vector<std::string> unwanted;
   for (const auto& [holder, cache] : caches_) {
     if (!wanted(holder)) {
-      others.push_back(holder);
+      unwanted.push_back(holder);
     }
   }
-  for (const std::string& holder : others) {
+  for (const std::string& holder : unwanted) {
     drop(holder);
   }
 }
--- a/src/control/cache_mirror.h
+++ b/src/control/cache_mirror.h
@@ -1,5 +1,6 @@
-/// What the caches of the fleet hold. The member that follows a cache's events knows all of it, and tells the
-/// others those parts that prompts share, which each of them tells its own routers. Free of I/O.
+/// The contents of all KV caches of the fleet. The member that follows a cache knows its full contents, and
+/// sends the other members only those prompt parts that several prompts share; each member passes these on to
+/// its own routers. Performs no I/O.
 #pragma once
 
 #include <functional>
@@ -17,14 +18,14 @@
 
 namespace stoat::control {
 
-/// Whether a cache is followed, for routers.
+/// The status of a cache, as sent to routers.
 struct CacheHead {
   bool store = false;
   bool followed = false;
   bool operator==(const CacheHead&) const = default;
 };
 
-/// One part in one cache.
+/// Key of one prompt part in one cache.
 struct HeldPart {
   std::string holder;
   uint64_t part = 0;
@@ -33,62 +34,67 @@
   }
 };
 
-/// See the head of this file.
+/// Index of the prompt parts that each cache holds.
 class CacheMirror {
  public:
-  /// What is known of one cache. Of two followers the one with the higher claim counts.
+  /// State of one cache. When two members follow it, the one with the higher claim takes precedence; on equal
+  /// claims the one with the greater address.
   struct Cache {
-    std::string follower;  ///< internal address of the member
-    uint64_t claim = 0;
+    std::string follower;  ///< internal address of the member that follows it
+    uint64_t claim = 0;    ///< rises when another member takes over the cache
     bool store = false;
     bool followed = false;
-    uint64_t epoch = 0;
-    uint64_t next_event = 0;
+    uint64_t epoch = 0;       ///< changes when the cache restarts
+    uint64_t next_event = 0;  ///< the event to read next
     std::unordered_map<uint64_t, fleet::PartHolding> parts;
   };
 
-  /// `self`: internal address of the member that keeps the mirror.
+  /// `self`: internal address of this member.
   explicit CacheMirror(std::string self = "") : self_(std::move(self)) {}
 
-  /// Takes what a follower tells. Returns false when another one has a higher claim.
+  /// Applies changes reported by a follower. Returns false when another follower takes precedence.
   bool apply(const std::string& follower, const fleet::CacheChanges& changes);
-  /// These parts are shared by prompts; routers are told of them only. Returns those that are new.
+  /// Marks prompt parts as shared; only shared parts are sent to routers. Returns those that were not marked
+  /// yet.
   std::vector<uint64_t> note_shared(const std::vector<uint64_t>& parts);
-  bool shared(uint64_t part) const { return shared_.count(part) > 0; }
-  /// True when a cache holds all these parts under weights that are no older, and routers were told so.
+  bool shared(uint64_t part) const { return shared_parts_.count(part) > 0; }
+  /// True when the cache is followed and routers already know that it holds all parts of the placement, made
+  /// by the same or newer weights.
   bool told(const fleet::ChainPlacement& placement) const;
-  /// A member is not heard any more: what it followed is followed by nobody.
+  /// Handles the loss of a member: the caches that it followed are no longer followed by any member.
   void lose_follower(const std::string& follower);
-  /// Forgets a cache.
+  /// Removes a cache.
   void drop(const std::string& holder);
-  /// Forgets all caches but the wanted ones.
+  /// Removes all caches for which `wanted` returns false.
   void keep(const std::function<bool(const std::string& holder)>& wanted);
 
-  /// A known cache, or nullptr.
+  /// The cache of a holder, or nullptr when it is unknown.
   const Cache* find(const std::string& holder) const;
-  /// All that is known of one cache.
+  /// The full contents of a cache, as changes that replace all that the receiver knows of it.
   fleet::CacheChanges whole(const std::string& holder) const;
-  /// The caches that a member follows.
+  /// Holders of the caches that a member follows.
   std::vector<std::string> followed_by(const std::string& follower) const;
-  std::vector<uint64_t> shared_parts() const { return {shared_.begin(), shared_.end()}; }
+  std::vector<uint64_t> shared_parts() const { return {shared_parts_.begin(), shared_parts_.end()}; }
 
-  const fleet::RevisionTable<std::string, CacheHead>& heads() const { return heads_; }
-  const fleet::RevisionTable<HeldPart, fleet::PartHolding>& shared_holdings() const { return holdings_; }
+  const fleet::RevisionTable<std::string, CacheHead>& heads() const { return statuses_; }
+  const fleet::RevisionTable<HeldPart, fleet::PartHolding>& shared_holdings() const {
+    return shared_holdings_;
+  }
 
  private:
-  void hold(const std::string& holder, Cache& cache, const fleet::PartHolding& holding);
-  void clear(const std::string& holder, Cache& cache);
-  void forget_shared();
-  void forget_unshared(const std::string& holder, uint64_t part);
+  void set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding);
+  void remove_parts(const std::string& holder, Cache& cache);
+  void reset_shared_parts();
+  void remove_unshared_holder(const std::string& holder, uint64_t part);
 
   std::string self_;
   std::map<std::string, Cache> caches_;  ///< by holder
-  std::unordered_set<uint64_t> shared_;
-  /// Holders of parts that are not known to be shared, so that a part that becomes so is not looked for in
-  /// thousands of caches.
+  std::unordered_set<uint64_t> shared_parts_;
+  /// Holders of parts that are not known to be shared. When a part becomes shared, its holders are found here
+  /// without searching thousands of caches.
   std::unordered_map<uint64_t, std::set<std::string>> unshared_holders_;
-  fleet::RevisionTable<std::string, CacheHead> heads_;
-  fleet::RevisionTable<HeldPart, fleet::PartHolding> holdings_;  ///< of shared parts
+  fleet::RevisionTable<std::string, CacheHead> statuses_;
+  fleet::RevisionTable<HeldPart, fleet::PartHolding> shared_holdings_;
 };
 
 }  // namespace stoat::control
--- a/src/control/cache_watch.cc
+++ b/src/control/cache_watch.cc
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// A cache that can't be reached is asked again after so long.
-constexpr Duration kRetryInterval = 300ms;
-/// Between an answer and the next question: events gather meanwhile. With many caches the pause grows, which
-/// bounds the questions of a member to some 500 a second.
-constexpr Duration kLeastPause = 30ms;
-constexpr Duration kPausePerCache = 2ms;
-/// Caches that are begun to be read from the beginning with each poll, some 66 a second. Each may tell
-/// thousands of events, and after a restart of all members hundreds are to be read: what engines and routers
-/// wait for goes first.
-constexpr size_t kFirstReadsPerPoll = 2;
+/// Delay before an unreachable cache is polled again.
+constexpr Duration kUnreachableRetryInterval = 300ms;
+/// Minimum time from one poll of a cache to the next, in which events accumulate. It grows with the number of
+/// caches, which limits a member to about 500 polls a second.
+constexpr Duration kMinPollInterval = 30ms;
+constexpr Duration kPollIntervalPerCache = 2ms;
+/// Number of caches whose initial read is started by each call of poll(), about 66 a second. An initial read
+/// may return thousands of events, and after a restart of all members hundreds of caches must be read; the
+/// limit keeps them from delaying the requests that engines and routers wait for.
+constexpr size_t kInitialReadsPerCall = 2;
 
-/// The same changes with as few entries as will do: of one part the last, unless an older version of weights
-/// says something of it later (CacheMirror passes that over where it does not count).
+/// Keeps the last entry for each part only. If an entry for older weights follows one for newer weights, both
+/// are kept; CacheMirror ignores the older one where it does not apply. When the changes replace the full
+/// contents, parts that are no longer held are omitted.
 void compact(fleet::CacheChanges& changes) {
-  std::unordered_map<uint64_t, size_t> newest;  // position by part
+  std::unordered_map<uint64_t, size_t> newest;  // index into `holdings`, by part
   std::vector<fleet::PartHolding> holdings;
   for (const fleet::PartHolding& holding : changes.holdings) {
     const auto [known, added] = newest.emplace(holding.part, holdings.size());
@@ -62,87 +63,90 @@
 }
 
 void CacheWatch::poll(TimePoint now) {
-  const Duration pause = std::max(kLeastPause, kPausePerCache * static_cast<int64_t>(caches_.size()));
-  std::vector<std::pair<TimePoint, const std::string*>> unread;  // since when they are due, and addresses
+  const Duration interval =
+      std::max(kMinPollInterval, kPollIntervalPerCache * static_cast<int64_t>(caches_.size()));
+  std::vector<std::pair<TimePoint, const std::string*>> initial_reads;  // due times and addresses
   for (auto& [address, cache] : caches_) {
-    if (cache.asking || now < cache.next_question) {
+    if (cache.polling || now < cache.next_poll) {
       continue;
     }
     if (cache.followed.epoch == 0) {
-      unread.emplace_back(cache.next_question, &address);
+      initial_reads.emplace_back(cache.next_poll, &address);
     } else {
-      ask(address, cache, pause, now);
+      poll_cache(address, cache, interval, now);
     }
   }
-  const size_t begun = std::min(unread.size(), kFirstReadsPerPoll);
-  std::partial_sort(unread.begin(), unread.begin() + static_cast<std::ptrdiff_t>(begun), unread.end());
-  unread.resize(begun);
-  for (const auto& [due, address] : unread) {
-    ask(*address, caches_.at(*address), pause, now);
+  const size_t read_count = std::min(initial_reads.size(), kInitialReadsPerCall);
+  std::partial_sort(initial_reads.begin(), initial_reads.begin() + static_cast<std::ptrdiff_t>(read_count),
+                    initial_reads.end());
+  initial_reads.resize(read_count);
+  for (const auto& [due, address] : initial_reads) {
+    poll_cache(*address, caches_.at(*address), interval, now);
   }
 }
 
-void CacheWatch::ask(const std::string& address, Cache& cache, Duration pause, TimePoint now) {
-  cache.asking = true;
+void CacheWatch::poll_cache(const std::string& address, Cache& cache, Duration interval, TimePoint now) {
+  cache.polling = true;
   const uint64_t generation = cache.generation;
   engines_.follow_cache(address, cache.followed.next_event,
-                        [this, address, generation, pause, now](const CacheEvents* events) {
+                        [this, address, generation, interval, now](const CacheEvents* events) {
                           const auto found = caches_.find(address);
                           if (found == caches_.end() || found->second.generation != generation) {
                             return;
                           }
-                          Cache& asked = found->second;
-                          asked.asking = false;
-                          // Counted from the question: one that was held open has waited longer.
-                          asked.next_question = now + (events == nullptr ? kRetryInterval : pause);
-                          on_events(asked, events);
+                          Cache& polled = found->second;
+                          polled.polling = false;
+                          // Counted from the start of the poll: a long poll that was held open has already
+                          // waited.
+                          polled.next_poll = now + (events == nullptr ? kUnreachableRetryInterval : interval);
+                          on_events(polled, events);
                         });
 }
 
-void CacheWatch::lose(Cache& cache) {
-  cache.untold.holdings.clear();
-  cache.untold.anew = true;
-  cache.changed = true;
+void CacheWatch::discard_contents(Cache& cache) {
+  cache.unreported.holdings.clear();
+  cache.unreported.anew = true;
+  cache.report_due = true;
 }
 
 void CacheWatch::on_events(Cache& cache, const CacheEvents* events) {
-  const bool was_live = std::exchange(cache.live, events != nullptr);
-  if (cache.live != was_live) {
-    cache.changed = true;
+  const bool was_reachable = std::exchange(cache.reachable, events != nullptr);
+  if (cache.reachable != was_reachable) {
+    cache.report_due = true;
   }
   if (events == nullptr) {
     return;
   }
   FollowedCache& followed = cache.followed;
   const bool restarted = followed.epoch != 0 && events->epoch != followed.epoch;
-  const bool first = followed.epoch == 0;
+  const bool initial_read = followed.epoch == 0;
   followed.epoch = events->epoch;
-  if (first || restarted || events->gap) {
-    lose(cache);
+  if (initial_read || restarted || events->gap) {
+    discard_contents(cache);
   }
   if (restarted) {
-    followed.next_event = 0;  // these events may be later ones of the new start
-    cache.next_question = TimePoint(0);
+    followed.next_event = 0;  // these events may not be the first ones of the new epoch
+    cache.next_poll = TimePoint(0);
     return;
   }
   followed.next_event = events->next_event;
   if (!events->holdings.empty()) {
-    cache.untold.holdings.insert(cache.untold.holdings.end(), events->holdings.begin(),
-                                 events->holdings.end());
-    cache.changed = true;
+    cache.unreported.holdings.insert(cache.unreported.holdings.end(), events->holdings.begin(),
+                                     events->holdings.end());
+    cache.report_due = true;
   }
 }
 
 std::vector<fleet::CacheChanges> CacheWatch::take_changes() {
   std::vector<fleet::CacheChanges> list;
   for (auto& [address, cache] : caches_) {
-    if (!std::exchange(cache.changed, false)) {
+    if (!std::exchange(cache.report_due, false)) {
       continue;
     }
-    fleet::CacheChanges changes = std::exchange(cache.untold, {});
+    fleet::CacheChanges changes = std::exchange(cache.unreported, {});
     changes.holder = cache.followed.holder;
     changes.store = cache.followed.store;
-    changes.followed = cache.live;
+    changes.followed = cache.reachable;
     changes.claim = cache.followed.claim;
     changes.epoch = cache.followed.epoch;
     changes.next_event = cache.followed.next_event;
--- a/src/control/cache_watch.h
+++ b/src/control/cache_watch.h
@@ -1,5 +1,5 @@
-/// Asks caches, of engines and stores, for their events. Each cache is asked by one control member, however
-/// many routers there are; what it tells goes into the CacheMirror of all members.
+/// Reads events from the KV caches of engines and stores by long polling. Each cache is polled by one control
+/// member only, however many routers there are; its changes go into the CacheMirror of every member.
 #pragma once
 
 #include <map>
@@ -12,25 +12,25 @@
 
 namespace stoat::control {
 
-/// A cache to follow.
+/// A cache to follow, and the position to read from.
 struct FollowedCache {
-  std::string holder;  ///< id of the engine; address of a store
+  std::string holder;  ///< id of the engine, or address of the store
   std::string address;
   bool store = false;
-  uint64_t claim = 0;       ///< under which its changes are told (CacheMirror)
-  uint64_t epoch = 0;       ///< where to go on, as its last follower told; 0: from the beginning
-  uint64_t next_event = 0;  ///< likewise
+  uint64_t claim = 0;       ///< claim under which its changes are reported; see CacheMirror
+  uint64_t epoch = 0;       ///< epoch reported by the previous follower; 0: read from the beginning
+  uint64_t next_event = 0;  ///< position in that epoch, reported by the previous follower
 };
 
-/// See the head of this file.
+/// Polls the followed caches and collects their changes.
 class CacheWatch {
  public:
   explicit CacheWatch(EngineOrders& engines) : engines_(engines) {}
 
-  /// The caches to follow from now on. One that is followed already, under the same claim, goes on as it was.
+  /// Sets the caches to follow. A cache that is already followed under the same claim continues undisturbed.
   void follow(const std::vector<FollowedCache>& caches);
-  /// Asks the caches that are due; of those that are to be read from the beginning only a few with each call.
-  /// To be called some 30 times a second.
+  /// Polls the caches that are due; of the caches to read from the beginning, only a few per call. To be
+  /// called about 30 times a second.
   void poll(TimePoint now);
   /// Changes since the last call.
   std::vector<fleet::CacheChanges> take_changes();
@@ -39,16 +39,16 @@
  private:
   struct Cache {
     FollowedCache followed;
-    bool live = false;
-    bool asking = false;
-    TimePoint next_question{0};
-    uint64_t generation = 0;  ///< tells an answer to an earlier watch of the same address
-    fleet::CacheChanges untold;
-    bool changed = false;  ///< `untold` is to be told
+    bool reachable = false;
+    bool polling = false;
+    TimePoint next_poll{0};
+    uint64_t generation = 0;  ///< identifies answers to polls of an earlier cache at this address
+    fleet::CacheChanges unreported;
+    bool report_due = false;  ///< something is to be reported: `unreported`, or a change of `reachable`
   };
-  void ask(const std::string& address, Cache& cache, Duration pause, TimePoint now);
+  void poll_cache(const std::string& address, Cache& cache, Duration interval, TimePoint now);
   static void on_events(Cache& cache, const CacheEvents* events);
-  static void lose(Cache& cache);
+  static void discard_contents(Cache& cache);
 
   EngineOrders& engines_;
   std::map<std::string, Cache> caches_;  ///< by address
--- a/tests/unit/cache_duty_test.cc
+++ b/tests/unit/cache_duty_test.cc
@@ -1,4 +1,5 @@
-/// Which caches a member follows, at ten thousand back ends: what a look costs follows what has changed.
+/// The assignment of caches to a member, with 10,000 backends: the cost of an update must depend on what has
+/// changed.
 #include "src/control/cache_duty.h"
 
 #include <gtest/gtest.h>
@@ -25,67 +26,68 @@
   CacheDutyTest() {
     for (size_t number = 0; number < kEngines; ++number) {
       const fleet::BackendRecord record = engine(number);
-      table_.set(record.id, record);
+      backends_.set(record.id, record);
     }
     for (size_t number = 0; number < kMembers; ++number) {
       members_.push_back({"m" + std::to_string(number), "z" + std::to_string(number % 5)});
     }
   }
-  bool look(Duration later = 100ms) {
-    now_ += later;
-    return duty_.update(table_, stores_, members_, now_);
+  bool run_update(Duration elapsed = 100ms) {
+    now_ += elapsed;
+    return assignment_.update(backends_, stores_, members_, now_);
   }
   TimePoint now_ = 100s;
-  CacheDuty::BackendTable table_;
+  CacheDuty::BackendTable backends_;
   CacheDuty::StoreZones stores_{{"s:1", "z1"}};
   std::vector<control::LiveMember> members_;
-  CacheDuty duty_{"m1", topology::Topology{}};
+  CacheDuty assignment_{"m1", topology::Topology{}};
 };
 
-TEST_F(CacheDutyTest, ALookWithoutChangesLooksAtNothing) {
-  EXPECT_TRUE(look());
-  const uint64_t before = duty_.looked_at();
+TEST_F(CacheDutyTest, UpdateWithoutChangesEvaluatesNothing) {
+  EXPECT_TRUE(run_update());
+  const uint64_t before = assignment_.evaluations();
   EXPECT_EQ(before, kEngines + 1);
   for (int step = 0; step < 100; ++step) {
-    EXPECT_FALSE(look());
+    EXPECT_FALSE(run_update());
   }
-  EXPECT_EQ(duty_.looked_at(), before);
+  EXPECT_EQ(assignment_.evaluations(), before);
 }
 
-TEST_F(CacheDutyTest, OnlyWhatComesIsLookedAt) {
-  look();
-  const uint64_t before = duty_.looked_at();
+TEST_F(CacheDutyTest, EvaluatesOnlyAddedBackends) {
+  run_update();
+  const uint64_t before = assignment_.evaluations();
   const fleet::BackendRecord added = engine(kEngines);
-  table_.set(added.id, added);
+  backends_.set(added.id, added);
   fleet::BackendRecord changed = engine(3);
   changed.loading = true;
-  table_.set(changed.id, changed);
-  look();
-  EXPECT_EQ(duty_.looked_at(), before + 1);
-  EXPECT_TRUE(duty_.knows(added.id));
+  backends_.set(changed.id, changed);
+  run_update();
+  EXPECT_EQ(assignment_.evaluations(), before + 1);
+  EXPECT_TRUE(assignment_.knows(added.id));
 }
 
-TEST_F(CacheDutyTest, WhatGoesIsToldOnce) {
-  look();
-  table_.erase("e5");
-  look();
-  EXPECT_EQ(duty_.take_gone(), std::vector<std::string>{"e5"});
-  EXPECT_FALSE(duty_.knows("e5"));
-  look();
-  EXPECT_TRUE(duty_.take_gone().empty());
+TEST_F(CacheDutyTest, ReportsARemovedBackendOnce) {
+  run_update();
+  backends_.erase("e5");
+  run_update();
+  EXPECT_EQ(assignment_.take_gone(), std::vector<std::string>{"e5"});
+  EXPECT_FALSE(assignment_.knows("e5"));
+  run_update();
+  EXPECT_TRUE(assignment_.take_gone().empty());
 }
 
-TEST_F(CacheDutyTest, TheCachesOfAMemberThatIsHeardNoMoreAreDividedAnew) {
-  look();
-  const size_t before = duty_.mine().size();
-  std::erase_if(members_, [](const auto& member) { return member.address == "m6"; });  // of the same zone
-  EXPECT_TRUE(look());
-  EXPECT_GT(duty_.mine().size(), before);
+TEST_F(CacheDutyTest, ReassignsTheCachesOfALostMember) {
+  run_update();
+  const size_t before = assignment_.mine().size();
+  // m6 is in the same zone as m1.
+  std::erase_if(members_, [](const auto& member) { return member.address == "m6"; });
+  EXPECT_TRUE(run_update());
+  EXPECT_GT(assignment_.mine().size(), before);
 }
 
-TEST_F(CacheDutyTest, AllAreLookedAtAgainAfterAWhile) {
-  look();
-  EXPECT_TRUE(look(31s));
+TEST_F(CacheDutyTest, ReevaluatesAllCachesAfterAnInterval) {
+  run_update();
+  EXPECT_TRUE(run_update(31s));
 }
 
 }  // namespace
--- a/tests/unit/cache_watch_test.cc
+++ b/tests/unit/cache_watch_test.cc
@@ -1,4 +1,4 @@
-/// What control learns of caches from their events, and what routers make of it.
+/// What control members learn from the events of KV caches, and how routers use it.
 #include "src/control/cache_watch.h"
 
 #include <gtest/gtest.h>
@@ -14,10 +14,10 @@
 using control::CacheWatch;
 using fleet::PartHolding;
 
-/// Keeps the questions, to be answered by the test.
-class AskedCaches : public control::EngineOrders {
+/// Records the requests for cache events, for the test to answer.
+class FakeEngines : public control::EngineOrders {
  public:
-  struct Question {
+  struct Request {
     std::string address;
     uint64_t since = 0;
     std::function<void(const CacheEvents*)> answer;
@@ -26,78 +26,79 @@
   void ask(const std::string&, std::function<void(const control::EngineReport*)>) override {}
   void follow_cache(const std::string& address, uint64_t since,
                     std::function<void(const CacheEvents*)> on_events) override {
-    questions.push_back({address, since, std::move(on_events)});
+    requests.push_back({address, since, std::move(on_events)});
   }
-  /// Answers the oldest question.
+  /// Answers the oldest request.
   void answer(const CacheEvents* events) {
-    const Question question = questions.front();
-    questions.erase(questions.begin());
-    question.answer(events);
+    const Request request = requests.front();
+    requests.erase(requests.begin());
+    request.answer(events);
   }
-  std::vector<Question> questions;
+  std::vector<Request> requests;
 };
 
 class CacheWatchTest : public ::testing::Test {
  protected:
   static constexpr uint64_t kPart = 11;
-  static constexpr uint64_t kOther = 12;
+  static constexpr uint64_t kOtherPart = 12;
   CacheWatchTest() { watch_.follow({followed(1)}); }
   static control::FollowedCache followed(uint64_t claim) { return {"e1", "a:1", false, claim, 0, 0}; }
-  /// Lets the cache answer that it is in `epoch` and tells these changes.
-  void tell(uint64_t epoch, uint64_t next, std::vector<PartHolding> holdings, bool gap = false) {
+  /// Polls the cache, which answers that it is in `epoch` and reports these changes.
+  void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<PartHolding> holdings, bool gap = false) {
     now_ += 2s;
     watch_.poll(now_);
-    ASSERT_EQ(caches_.questions.size(), 1U);
+    ASSERT_EQ(engines_.requests.size(), 1U);
     const CacheEvents events{epoch, next, gap, std::move(holdings)};
-    caches_.answer(&events);
+    engines_.answer(&events);
   }
 
-  AskedCaches caches_;
-  CacheWatch watch_{caches_};
+  FakeEngines engines_;
+  CacheWatch watch_{engines_};
   TimePoint now_{0};
 };
 
-TEST_F(CacheWatchTest, TellsChangesOnce) {
-  tell(7, 3, {{kPart, 2, 100}, {kOther, 2, 50}});
-  const auto news = watch_.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news[0].holder, "e1");
-  EXPECT_TRUE(news[0].followed);
-  EXPECT_TRUE(news[0].anew);
-  EXPECT_EQ(news[0].claim, 1U);
-  EXPECT_EQ(news[0].epoch, 7U);
-  EXPECT_EQ(news[0].next_event, 3U);
-  ASSERT_EQ(news[0].holdings.size(), 2U);
-  EXPECT_EQ(news[0].holdings[0].part, kPart);
-  EXPECT_EQ(news[0].holdings[0].tokens, 100U);
+TEST_F(CacheWatchTest, ReportsChangesOnce) {
+  poll_and_answer(7, 3, {{kPart, 2, 100}, {kOtherPart, 2, 50}});
+  const auto changes = watch_.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes[0].holder, "e1");
+  EXPECT_TRUE(changes[0].followed);
+  EXPECT_TRUE(changes[0].anew);
+  EXPECT_EQ(changes[0].claim, 1U);
+  EXPECT_EQ(changes[0].epoch, 7U);
+  EXPECT_EQ(changes[0].next_event, 3U);
+  ASSERT_EQ(changes[0].holdings.size(), 2U);
+  EXPECT_EQ(changes[0].holdings[0].part, kPart);
+  EXPECT_EQ(changes[0].holdings[0].tokens, 100U);
   EXPECT_TRUE(watch_.take_changes().empty());
 }
 
-TEST_F(CacheWatchTest, TellsOfOnePartTheLastChangeOnly) {
-  tell(7, 3, {});
+TEST_F(CacheWatchTest, ReportsOnlyTheLastChangeOfAPart) {
+  poll_and_answer(7, 3, {});
   watch_.take_changes();
-  tell(7, 9, {{kPart, 2, 100}, {kOther, 2, 50}, {kPart, 2, 0}, {kPart, 3, 70}, {kOther, 2, 0}});
-  const auto news = watch_.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news[0].holdings, (std::vector<PartHolding>{{kPart, 3, 70}, {kOther, 2, 0}}));
+  poll_and_answer(7, 9,
+                  {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kPart, 2, 0}, {kPart, 3, 70}, {kOtherPart, 2, 0}});
+  const auto changes = watch_.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
 }
 
-TEST_F(CacheWatchTest, ADropOfOlderWeightsDoesNotReplaceWhatNewerOnesMade) {
-  tell(7, 3, {});
+TEST_F(CacheWatchTest, DropForOlderWeightsDoesNotReplaceNewerHolding) {
+  poll_and_answer(7, 3, {});
   watch_.take_changes();
-  tell(7, 9, {{kPart, 3, 100}, {kPart, 2, 0}});
-  const auto news = watch_.take_changes();
-  EXPECT_EQ(news.at(0).holdings, (std::vector<PartHolding>{{kPart, 3, 100}, {kPart, 2, 0}}));
+  poll_and_answer(7, 9, {{kPart, 3, 100}, {kPart, 2, 0}});
+  const auto changes = watch_.take_changes();
+  EXPECT_EQ(changes.at(0).holdings, (std::vector<PartHolding>{{kPart, 3, 100}, {kPart, 2, 0}}));
 }
 
-TEST_F(CacheWatchTest, ACacheReadFromItsBeginningTellsNothingOfWhatItDropped) {
-  tell(7, 9, {{kPart, 2, 100}, {kOther, 2, 50}, {kOther, 2, 0}});
-  const auto news = watch_.take_changes();
-  ASSERT_TRUE(news.at(0).anew);
-  EXPECT_EQ(news[0].holdings, (std::vector<PartHolding>{{kPart, 2, 100}}));
+TEST_F(CacheWatchTest, InitialReadOmitsDroppedParts) {
+  poll_and_answer(7, 9, {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kOtherPart, 2, 0}});
+  const auto changes = watch_.take_changes();
+  ASSERT_TRUE(changes.at(0).anew);
+  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 2, 100}}));
 }
 
-TEST_F(CacheWatchTest, HundredsOfCachesAreBegunAFewAtATime) {
+TEST_F(CacheWatchTest, StartsInitialReadsAFewAtATime) {
   std::vector<control::FollowedCache> caches;
   for (int i = 0; i < 200; ++i) {
     const std::string number = std::to_string(i);
@@ -105,86 +106,86 @@
   }
   watch_.follow(caches);
   size_t polls = 0;
-  for (; caches_.questions.size() < 200; ++polls) {
-    const size_t before = caches_.questions.size();
+  for (; engines_.requests.size() < 200; ++polls) {
+    const size_t before = engines_.requests.size();
     watch_.poll(now_ += 30ms);
-    EXPECT_LE(caches_.questions.size() - before, 2U);
+    EXPECT_LE(engines_.requests.size() - before, 2U);
     ASSERT_LT(polls, 150U);
   }
-  // Those that could be read go on all together.
+  // Once they could be read, all caches are polled together.
   const CacheEvents events{7, 3, false, {}};
-  while (!caches_.questions.empty()) {
-    caches_.answer(&events);
+  while (!engines_.requests.empty()) {
+    engines_.answer(&events);
   }
   watch_.poll(now_ += 2s);
-  EXPECT_EQ(caches_.questions.size(), 200U);
+  EXPECT_EQ(engines_.requests.size(), 200U);
 }
 
-TEST_F(CacheWatchTest, AsksOnFromTheNextEvent) {
-  tell(7, 3, {});
-  tell(7, 9, {});
+TEST_F(CacheWatchTest, ContinuesFromTheNextEvent) {
+  poll_and_answer(7, 3, {});
+  poll_and_answer(7, 9, {});
   now_ += 2s;
   watch_.poll(now_);
-  EXPECT_EQ(caches_.questions.at(0).since, 9U);
+  EXPECT_EQ(engines_.requests.at(0).since, 9U);
 }
 
-TEST_F(CacheWatchTest, ANewFollowerGoesOnWhereTheLastOneStopped) {
-  CacheWatch next(caches_);
-  next.follow({{"e1", "a:1", false, 5, 7, 40}});
-  next.poll(1s);
-  ASSERT_EQ(caches_.questions.size(), 1U);
-  EXPECT_EQ(caches_.questions[0].since, 40U);
+TEST_F(CacheWatchTest, NewFollowerContinuesWhereTheLastOneStopped) {
+  CacheWatch new_follower(engines_);
+  new_follower.follow({{"e1", "a:1", false, 5, 7, 40}});
+  new_follower.poll(1s);
+  ASSERT_EQ(engines_.requests.size(), 1U);
+  EXPECT_EQ(engines_.requests[0].since, 40U);
   const CacheEvents events{7, 41, false, {{kPart, 2, 100}}};
-  caches_.answer(&events);
-  const auto news = next.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_FALSE(news[0].anew);  // what was told before still counts
-  EXPECT_EQ(news[0].claim, 5U);
+  engines_.answer(&events);
+  const auto changes = new_follower.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_FALSE(changes[0].anew);  // what was reported before is still valid
+  EXPECT_EQ(changes[0].claim, 5U);
 }
 
-TEST_F(CacheWatchTest, ARestartedCacheIsEmptyAndAskedFromItsBeginning) {
-  tell(7, 300, {{kPart, 2, 100}});
+TEST_F(CacheWatchTest, RestartedCacheIsEmptyAndReadFromTheBeginning) {
+  poll_and_answer(7, 300, {{kPart, 2, 100}});
   watch_.take_changes();
-  tell(8, 4, {{kPart, 2, 100}});  // later events of the new start: those before are not in them
-  const auto news = watch_.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_TRUE(news[0].anew);
-  EXPECT_TRUE(news[0].holdings.empty());
+  poll_and_answer(8, 4, {{kPart, 2, 100}});  // later events of the new epoch, without its first ones
+  const auto changes = watch_.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_TRUE(changes[0].anew);
+  EXPECT_TRUE(changes[0].holdings.empty());
   now_ += 2s;
   watch_.poll(now_);
-  EXPECT_EQ(caches_.questions.at(0).since, 0U);
+  EXPECT_EQ(engines_.requests.at(0).since, 0U);
 }
 
-TEST_F(CacheWatchTest, AGapMakesAllCountNoMore) {
-  tell(7, 300, {{kPart, 2, 100}});
+TEST_F(CacheWatchTest, GapInvalidatesAllContents) {
+  poll_and_answer(7, 300, {{kPart, 2, 100}});
   watch_.take_changes();
-  tell(7, 9000, {}, true);
-  const auto news = watch_.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_TRUE(news[0].anew);
-  EXPECT_TRUE(news[0].holdings.empty());
+  poll_and_answer(7, 9000, {}, true);
+  const auto changes = watch_.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_TRUE(changes[0].anew);
+  EXPECT_TRUE(changes[0].holdings.empty());
 }
 
-TEST_F(CacheWatchTest, ACacheThatCannotBeReachedIsToldSo) {
-  tell(7, 300, {{kPart, 2, 100}});
+TEST_F(CacheWatchTest, ReportsAnUnreachableCache) {
+  poll_and_answer(7, 300, {{kPart, 2, 100}});
   watch_.take_changes();
   now_ += 2s;
   watch_.poll(now_);
-  caches_.answer(nullptr);
-  const auto news = watch_.take_changes();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_FALSE(news[0].followed);
+  engines_.answer(nullptr);
+  const auto changes = watch_.take_changes();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_FALSE(changes[0].followed);
 }
 
-TEST_F(CacheWatchTest, AnAnswerToAnEarlierClaimIsPassedOver) {
+TEST_F(CacheWatchTest, IgnoresAnAnswerForAnEarlierClaim) {
   watch_.poll(now_);
   watch_.follow({followed(2)});
   const CacheEvents events{7, 3, false, {{kPart, 2, 100}}};
-  caches_.answer(&events);
+  engines_.answer(&events);
   EXPECT_TRUE(watch_.take_changes().empty());
 }
 
-/// A memory of one cache, and a prompt of two shared parts and one of its own.
+/// The known contents of one cache, and a prompt with two shared parts and one of its own.
 class ChainMemoryTest : public ::testing::Test {
  protected:
   static constexpr uint64_t kWeights = 3;
@@ -193,7 +194,7 @@
   placement::ChainMemory memory_;
 };
 
-TEST_F(ChainMemoryTest, WithEventsOnlyWhatTheyTellCounts) {
+TEST_F(ChainMemoryTest, WithEventsOnlyReportedHoldingsCount) {
   memory_.note_held({1, 2}, kWeights, 1s);
   memory_.follow(&trust_);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s + placement::kEventDelay + 1ms), 0U);
@@ -203,7 +204,7 @@
   EXPECT_TRUE(memory_.surely_holds(chain_, kWeights, 60s));
 }
 
-TEST_F(ChainMemoryTest, APartDroppedInPartEndsWhatCanBeUsed) {
+TEST_F(ChainMemoryTest, PartiallyDroppedPartEndsTheUsablePrefix) {
   memory_.follow(&trust_);
   memory_.set_holding(1, kWeights, 1000);
   memory_.set_holding(2, kWeights, 500);
@@ -212,7 +213,7 @@
   EXPECT_FALSE(memory_.surely_holds(chain_, kWeights, 1s));
 }
 
-TEST_F(ChainMemoryTest, ADropGoesBeforeWhatWasSeenAMomentAgo) {
+TEST_F(ChainMemoryTest, DropEventOverridesARecentObservation) {
   memory_.follow(&trust_);
   memory_.set_holding(1, kWeights, 1000);
   memory_.note_held({1}, kWeights, 1s);
@@ -220,7 +221,7 @@
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
-TEST_F(ChainMemoryTest, ADropOfWhatEventsNeverToldChangesNothing) {
+TEST_F(ChainMemoryTest, DropEventForAnUnreportedPartIsIgnored) {
   memory_.follow(&trust_);
   memory_.note_held({1}, kWeights, 1s);
   memory_.drop_holding(1);  // of an earlier copy
@@ -230,18 +231,19 @@
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
-TEST_F(ChainMemoryTest, WithoutEventsWhatWasSeenCountsForItsTime) {
+TEST_F(ChainMemoryTest, WithoutEventsObservationsCountUntilTheyExpire) {
   trust_.until = 2s;
   memory_.follow(&trust_);
   memory_.set_holding(1, kWeights, 1000);
   memory_.note_held({2}, kWeights, 1s);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 0U);  // nobody tells whether the first is still there
+  // Nothing tells whether the first part is still held.
+  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 0U);
   memory_.note_held({1}, kWeights, 2s);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 1500U);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 2s + placement::kHoldTime + 1ms), 0U);
 }
 
-TEST_F(ChainMemoryTest, NewWeightsMakeAllCountNoMore) {
+TEST_F(ChainMemoryTest, NewWeightsInvalidateAllHoldings) {
   memory_.follow(&trust_);
   memory_.set_holding(1, kWeights, 1000);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights + 1, 1s), 0U);
@@ -249,7 +251,7 @@
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
-TEST(StoreSet, EachChainHasOneStoreAndAllStoresAreUsed) {
+TEST(StoreSet, AssignsEachChainToOneStoreAndUsesAllStores) {
   dispatch::StoreSet stores;
   const auto chain_of = [](uint64_t part) { return placement::PromptChain{{{part, 1000}, {0, 70}}, 1070}; };
   EXPECT_EQ(stores.store_for(chain_of(1)), nullptr);
@@ -264,13 +266,13 @@
   }
   ASSERT_EQ(chains.size(), 3U);
   EXPECT_GT(std::min({chains["s:1"], chains["s:2"], chains["s:3"]}), 60);
-  stores.remove("s:2");  // only the chains of the lost store move
+  stores.remove("s:2");  // only the chains of the removed store move
   for (const auto& [part, address] : store_of) {
     EXPECT_TRUE(address == "s:2" || stores.store_for(chain_of(part))->address == address);
   }
 }
 
-TEST(StoreSet, AStoreThatComesAgainIsEmpty) {
+TEST(StoreSet, StoreIsEmptyWhenAddedAgain) {
   dispatch::StoreSet stores;
   stores.add("s:1").memory.note_held({1}, 1, 1s);
   const placement::PromptChain chain{{{1, 1000}, {2, 70}}, 1070};
@@ -280,7 +282,7 @@
   EXPECT_EQ(stores.store_for(chain)->memory.held_tokens(chain, 1, 1s), 0U);
 }
 
-TEST(CacheNamespace, IsReadBackAsItWasWritten) {
+TEST(CacheNamespace, RoundTripsThroughTheSalt) {
   for (const std::string& owner : {placement::shared_owner(), placement::owner_of_tenant("a-v2-b")}) {
     const auto name = placement::read_salt(placement::to_salt({owner, 17}));
     ASSERT_TRUE(name);
