--- a/src/control/caller_assignment.cc
+++ b/src/control/caller_assignment.cc
@@ -11,69 +11,74 @@
 
 using RouterNames = std::vector<std::string>;
 
-/// One zone of the region.
-struct ZoneShare {
+/// A zone of the region, and the assignment of routers to its callers.
+struct ZoneQuota {
   std::string zone;
-  RouterNames spares;   ///< routers of the zone that are not assigned yet
-  size_t own = 0;       ///< routers that lie in it
-  size_t quota = 0;     ///< how many its callers are told
-  size_t assigned = 0;  ///< how many of them are found
+  RouterNames unassigned;     ///< routers in this zone that are not assigned yet
+  size_t own_count = 0;       ///< routers in this zone
+  size_t quota = 0;           ///< routers to be assigned to its callers
+  size_t assigned_count = 0;  ///< routers assigned to its callers so far
 };
 
-std::vector<ZoneShare> share_by_zone(const std::map<std::string, std::string>& zones) {
+std::vector<ZoneQuota> make_quotas(const std::map<std::string, std::string>& zones) {
   std::map<std::string, RouterNames> routers;
   for (const auto& [router, zone] : zones) {
     routers[zone].push_back(router);
   }
-  std::vector<ZoneShare> shares;
+  std::vector<ZoneQuota> entries;
   for (auto& [zone, names] : routers) {
-    // Rendezvous order: a router that comes or goes moves no other.
+    // Ordered by hash, so that adding or removing a router does not move the others.
     std::sort(names.begin(), names.end(), [](const std::string& left, const std::string& right) {
       return hash_bytes(left) < hash_bytes(right);
     });
-    const size_t own = names.size();
-    shares.push_back({zone, std::move(names), own, 0, 0});
+    const size_t own_count = names.size();
+    entries.push_back({zone, std::move(names), own_count, 0, 0});
   }
-  // What can't be divided goes to the zones with the most routers.
-  std::stable_sort(shares.begin(), shares.end(),
-                   [](const ZoneShare& left, const ZoneShare& right) { return left.own > right.own; });
-  for (size_t position = 0; position < shares.size(); ++position) {
-    shares[position].quota = zones.size() / shares.size() + (position < zones.size() % shares.size() ? 1 : 0);
+  // The remainder of the division goes to the zones with the most routers.
+  std::stable_sort(entries.begin(), entries.end(), [](const ZoneQuota& left, const ZoneQuota& right) {
+    return left.own_count > right.own_count;
+  });
+  for (size_t position = 0; position < entries.size(); ++position) {
+    entries[position].quota =
+        zones.size() / entries.size() + (position < zones.size() % entries.size() ? 1 : 0);
   }
-  return shares;
+  return entries;
 }
 
-/// How many routers of its own zone a zone's callers are told at most.
-size_t most_own(const ZoneShare& share, size_t zone_count) {
+/// Maximum number of a zone's own routers that are assigned to its callers.
+size_t max_own_zone_routers(const ZoneQuota& entry, size_t zone_count) {
   if (zone_count == 1) {
-    return share.quota;
+    return entry.quota;
   }
-  const size_t reserve = std::max(kReserveRouters, share.quota / kRoutersPerReserve);
-  return share.quota - std::min(share.quota, reserve);
+  const size_t reserve = std::max(kMinReserveRouters, entry.quota / kRoutersPerReserveRouter);
+  return entry.quota - std::min(entry.quota, reserve);
 }
 
-/// The zone that has the most routers left, other zones than `taker` first; nullptr when none has any.
-ZoneShare* richest_for(const ZoneShare& taker, std::vector<ZoneShare>& shares) {
-  ZoneShare* best = nullptr;
-  const auto rank = [&](const ZoneShare& share) {
-    return std::make_pair(share.zone != taker.zone, share.spares.size());
+/// The zone with the most unassigned routers, with other zones than `recipient` first; nullptr when no router
+/// is unassigned.
+ZoneQuota* select_donor(const ZoneQuota& recipient, std::vector<ZoneQuota>& entries) {
+  ZoneQuota* best = nullptr;
+  const auto rank = [&](const ZoneQuota& entry) {
+    return std::make_pair(entry.zone != recipient.zone, entry.unassigned.size());
   };
-  for (ZoneShare& share : shares) {
-    if (!share.spares.empty() && (best == nullptr || rank(share) > rank(*best))) {
-      best = &share;
+  for (ZoneQuota& entry : entries) {
+    if (!entry.unassigned.empty() && (best == nullptr || rank(entry) > rank(*best))) {
+      best = &entry;
     }
   }
   return best;
 }
 
-/// The zone that is to take the next spare router; nullptr when all have theirs. First the one with the most
-/// to take and to give: else it would be left with its own in the end.
-ZoneShare* next_taker(std::vector<ZoneShare>& shares) {
-  ZoneShare* best = nullptr;
-  const auto open = [](const ZoneShare& share) { return share.quota - share.assigned + share.spares.size(); };
-  for (ZoneShare& share : shares) {
-    if (share.assigned < share.quota && (best == nullptr || open(share) > open(*best))) {
-      best = &share;
+/// The zone that gets the next unassigned router; nullptr when all quotas are filled. Picks the zone with the
+/// most routers still to receive and to give away; if picked last, it would be left with its own routers.
+ZoneQuota* select_recipient(std::vector<ZoneQuota>& entries) {
+  ZoneQuota* best = nullptr;
+  const auto unsettled = [](const ZoneQuota& entry) {
+    return entry.quota - entry.assigned_count + entry.unassigned.size();
+  };
+  for (ZoneQuota& entry : entries) {
+    if (entry.assigned_count < entry.quota && (best == nullptr || unsettled(entry) > unsettled(*best))) {
+      best = &entry;
     }
   }
   return best;
@@ -81,22 +86,22 @@
 
 }  // namespace
 
-std::map<std::string, std::string> assign_to_callers(const std::map<std::string, std::string>& zones) {
+std::map<std::string, std::string> assign_routers_to_zones(const std::map<std::string, std::string>& zones) {
   std::map<std::string, std::string> assigned;
-  std::vector<ZoneShare> shares = share_by_zone(zones);
-  const auto take = [&](ZoneShare& taker, ZoneShare& giver) {
-    assigned[giver.spares.back()] = taker.zone;
-    giver.spares.pop_back();
-    ++taker.assigned;
+  std::vector<ZoneQuota> entries = make_quotas(zones);
+  const auto assign = [&](ZoneQuota& recipient, ZoneQuota& donor) {
+    assigned[donor.unassigned.back()] = recipient.zone;
+    donor.unassigned.pop_back();
+    ++recipient.assigned_count;
   };
-  for (ZoneShare& share : shares) {
-    const size_t most = most_own(share, shares.size());
-    while (share.assigned < most && !share.spares.empty()) {
-      take(share, share);
+  for (ZoneQuota& entry : entries) {
+    const size_t own_limit = max_own_zone_routers(entry, entries.size());
+    while (entry.assigned_count < own_limit && !entry.unassigned.empty()) {
+      assign(entry, entry);
     }
   }
-  while (ZoneShare* taker = next_taker(shares)) {
-    take(*taker, *richest_for(*taker, shares));
+  while (ZoneQuota* recipient = select_recipient(entries)) {
+    assign(*recipient, *select_donor(*recipient, entries));
   }
   return assigned;
 }
--- a/src/control/caller_assignment.h
+++ b/src/control/caller_assignment.h
@@ -1,5 +1,5 @@
-/// Which routers the callers of a zone are told: each router of a region belongs to the callers of one zone,
-/// so that callers mostly stay in their zone and all routers get about the same number of them. Free of I/O.
+/// Assigns each router of a region to the callers of one zone, so that callers mostly stay in their zone and
+/// each router gets about the same number of callers. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -7,15 +7,16 @@
 
 namespace stoat::control {
 
-/// Of the routers told to a zone's callers, at least so many lie in other zones: their zone may be lost as a
-/// whole, and until they ask again they know no others.
-inline constexpr size_t kReserveRouters = 2;
-/// In large fleets the reserve is one of so many: it takes all the zone's callers when the zone is lost.
-inline constexpr size_t kRoutersPerReserve = 8;
+/// Minimum number of routers of other zones that are assigned to a zone's callers. If the whole zone fails,
+/// these are the only routers its callers know until they query the directory again.
+inline constexpr size_t kMinReserveRouters = 2;
+/// In large fleets, one in this many of a zone's assigned routers lies in another zone: these routers take
+/// all callers of the zone when it fails.
+inline constexpr size_t kRoutersPerReserveRouter = 8;
 
-/// The zone whose callers each router of one region is told to, by router. `zones`: the zone of each router.
-/// Callers are taken to be as many in each zone. All that know the same routers come to the same result, and
-/// a router more or less changes the zone of few others.
-std::map<std::string, std::string> assign_to_callers(const std::map<std::string, std::string>& zones);
+/// The zone to whose callers each router of one region is assigned, by router. `zones`: the zone in which
+/// each router lies. Each zone is assumed to have the same number of callers. The result depends on `zones`
+/// alone, and adding or removing a router changes the assignment of few others.
+std::map<std::string, std::string> assign_routers_to_zones(const std::map<std::string, std::string>& zones);
 
 }  // namespace stoat::control
--- a/src/control/router_directory.cc
+++ b/src/control/router_directory.cc
@@ -9,42 +9,45 @@
 
 namespace {
 
-/// A router tells each member of itself at least every 1.2 s (gateway::ControlLinkOptions); two may be lost.
+/// A router sends its status to each member at least every 1.2 s (gateway::ControlLinkOptions); two may be
+/// lost.
 constexpr Duration kStatusLease = 2500ms;
-/// Members exchange news at least every 200 ms.
+/// Members exchange updates at least every 200 ms.
 constexpr Duration kMemberLease = 1s;
-/// A member that is silent for so long may be cut off: what its routers tell it does not come.
+/// A member that is silent for this long may be cut off, so that its routers' reports do not arrive.
 constexpr Duration kMemberOverdue = 600ms;
-/// After so long a silent router is dropped.
-constexpr Duration kForgetAfter = 10s;
-/// A router that restarts within so long finds its callers again: the assignment of the others stays too.
-constexpr Duration kSeatTime = 20s;
-/// With fewer routers a zone, callers are told all of the region: the loss of one would be felt.
-constexpr size_t kFewestAssigned = 8;
-/// With a smaller part of the assigned routers ready, callers are told all of the region.
-constexpr double kReadyShare = 0.5;
-/// Zones of callers for which the assignment of routers is kept.
+/// A router that is silent for this long is removed.
+constexpr Duration kSilentRouterRetention = 10s;
+/// A router that restarts within this time gets its callers back, and the assignment of the other routers
+/// stays as it is.
+constexpr Duration kAssignmentRetention = 20s;
+/// With fewer routers assigned to a zone, its callers are given all routers of the region: the loss of one
+/// would be noticeable.
+constexpr size_t kMinAssignedRouters = 8;
+/// With a smaller share of the assigned routers ready, callers are given all routers of the region.
+constexpr double kMinReadyShare = 0.5;
+/// Maximum number of caller zones whose assignment is cached.
 constexpr size_t kMaxAssignments = 64;
 
 }  // namespace
 
 bool RouterDirectory::on_status(const fleet::RouterRecord& router, TimePoint now) {
-  Known& known = routers_[router.name];
-  known.heard = now;
+  KnownRouter& known = routers_[router.name];
+  known.last_status = now;
   const bool changed = known.router != router;
   known.router = router;
-  note_seat(router, now);
+  note_assignable(router, now);
   return changed;
 }
 
 void RouterDirectory::on_notice(const std::string& member, const fleet::RouterNotice& notice, TimePoint now) {
   const auto found = routers_.find(notice.router.name);
   if (notice.present) {
-    Known& known = routers_[notice.router.name];
+    KnownRouter& known = routers_[notice.router.name];
     known.router = notice.router;
     known.member = member;
-    members_heard_[member] = now;
-    note_seat(notice.router, now);
+    members_last_heard_[member] = now;
+    note_assignable(notice.router, now);
   } else if (found != routers_.end() && found->second.member == member) {
     routers_.erase(found);
   }
@@ -52,45 +55,46 @@
 
 void RouterDirectory::forget(const std::string& router) { routers_.erase(router); }
 
-bool RouterDirectory::live(const Known& known, TimePoint now) const {
-  if (known.heard > TimePoint(0) && now - known.heard < kStatusLease) {
+bool RouterDirectory::is_live(const KnownRouter& known, TimePoint now) const {
+  if (known.last_status > TimePoint(0) && now - known.last_status < kStatusLease) {
     return true;
   }
-  const auto member = members_heard_.find(known.member);
-  return member != members_heard_.end() && now - member->second < kMemberLease;
+  const auto member = members_last_heard_.find(known.member);
+  return member != members_last_heard_.end() && now - member->second < kMemberLease;
 }
 
-void RouterDirectory::note_seat(const fleet::RouterRecord& router, TimePoint now) {
+void RouterDirectory::note_assignable(const fleet::RouterRecord& router, TimePoint now) {
   if (!router.ready) {
     return;
   }
-  Seat& seat = seats_[router.name];
-  if (seat.zone != router.zone || seat.ready_at == TimePoint(0)) {
-    ++seats_revision_;
+  AssignableRouter& assignable = assignable_routers_[router.name];
+  if (assignable.zone != router.zone || assignable.ready_at == TimePoint(0)) {
+    ++assignable_revision_;
   }
-  seat = {router.zone, now};
+  assignable = {router.zone, now};
 }
 
 void RouterDirectory::expire(TimePoint now) {
   for (const auto& [name, known] : routers_) {
-    if (known.router.ready && live(known, now)) {
-      note_seat(known.router, now);
+    if (known.router.ready && is_live(known, now)) {
+      note_assignable(known.router, now);
     }
   }
-  seats_revision_ +=
-      std::erase_if(seats_, [&](const auto& entry) { return now - entry.second.ready_at > kSeatTime; });
+  assignable_revision_ += std::erase_if(assignable_routers_, [&](const auto& entry) {
+    return now - entry.second.ready_at > kAssignmentRetention;
+  });
   std::erase_if(routers_, [&](const auto& entry) {
-    const auto member = members_heard_.find(entry.second.member);
-    const TimePoint told = member == members_heard_.end() ? TimePoint(0) : member->second;
-    return now - std::max(entry.second.heard, told) > kForgetAfter;
+    const auto member = members_last_heard_.find(entry.second.member);
+    const TimePoint last_report = member == members_last_heard_.end() ? TimePoint(0) : member->second;
+    return now - std::max(entry.second.last_status, last_report) > kSilentRouterRetention;
   });
 }
 
 size_t RouterDirectory::count_unheard(const std::map<std::string, fleet::RouterRecord>& own,
                                       TimePoint now) const {
   const auto unheard = [&](const auto& entry) {
-    const auto member = members_heard_.find(entry.second.member);
-    return member != members_heard_.end() && now - member->second >= kMemberOverdue &&
+    const auto member = members_last_heard_.find(entry.second.member);
+    return member != members_last_heard_.end() && now - member->second >= kMemberOverdue &&
            own.count(entry.first) == 0;
   };
   return static_cast<size_t>(std::count_if(routers_.begin(), routers_.end(), unheard));
@@ -99,7 +103,7 @@
 std::vector<fleet::RouterRecord> RouterDirectory::ready(TimePoint now) const {
   std::vector<fleet::RouterRecord> list;
   for (const auto& [name, known] : routers_) {
-    if (known.router.ready && live(known, now)) {
+    if (known.router.ready && is_live(known, now)) {
       list.push_back(known.router);
     }
   }
@@ -108,58 +112,60 @@
 
 size_t RouterDirectory::ready_count(TimePoint now) const {
   return static_cast<size_t>(std::count_if(routers_.begin(), routers_.end(), [&](const auto& entry) {
-    return entry.second.router.ready && live(entry.second, now);
+    return entry.second.router.ready && is_live(entry.second, now);
   }));
 }
 
 std::vector<fleet::RouterRecord> RouterDirectory::for_callers(const std::string& zone, size_t limit,
                                                               TimePoint now) const {
   std::vector<fleet::RouterRecord> list = ready(now);
-  const auto far = [&](const fleet::RouterRecord& router) {
+  const auto in_other_region = [&](const fleet::RouterRecord& router) {
     return topology_.distance(zone, router.zone) == topology::Distance::kOtherRegion;
   };
-  if (!std::all_of(list.begin(), list.end(), far)) {
-    std::erase_if(list, far);
-    list = assigned_of(zone, list);
+  if (!std::all_of(list.begin(), list.end(), in_other_region)) {
+    std::erase_if(list, in_other_region);
+    list = select_assigned(zone, list);
   }
-  cut(list, zone, limit);
+  truncate(list, zone, limit);
   return list;
 }
 
 const std::map<std::string, std::string>& RouterDirectory::assignment_for(const std::string& zone) const {
   if (assignments_.size() > kMaxAssignments) {
-    assignments_.clear();  // callers may name any zone
+    assignments_.clear();  // callers can name any zone
   }
   Assignment& known = assignments_[zone];
-  if (known.revision == seats_revision_) {
-    return known.zones;
+  if (known.revision == assignable_revision_) {
+    return known.zone_by_router;
   }
   std::map<std::string, std::string> zones;
-  for (const auto& [name, seat] : seats_) {
-    if (topology_.distance(zone, seat.zone) != topology::Distance::kOtherRegion) {
-      zones[name] = seat.zone;
+  for (const auto& [name, assignable] : assignable_routers_) {
+    if (topology_.distance(zone, assignable.zone) != topology::Distance::kOtherRegion) {
+      zones[name] = assignable.zone;
     }
   }
-  known = {seats_revision_, assign_to_callers(zones)};
-  return known.zones;
+  known = {assignable_revision_, assign_routers_to_zones(zones)};
+  return known.zone_by_router;
 }
 
-std::vector<fleet::RouterRecord> RouterDirectory::assigned_of(
+std::vector<fleet::RouterRecord> RouterDirectory::select_assigned(
     const std::string& zone, const std::vector<fleet::RouterRecord>& list) const {
   const std::map<std::string, std::string>& assigned = assignment_for(zone);
-  const auto seats = static_cast<size_t>(std::count_if(
+  const auto assigned_count = static_cast<size_t>(std::count_if(
       assigned.begin(), assigned.end(), [&](const auto& entry) { return entry.second == zone; }));
   std::vector<fleet::RouterRecord> chosen;
   std::copy_if(list.begin(), list.end(), std::back_inserter(chosen), [&](const fleet::RouterRecord& router) {
     const auto found = assigned.find(router.name);
     return found != assigned.end() && found->second == zone;
   });
-  const bool enough = seats >= kFewestAssigned &&
-                      static_cast<double>(chosen.size()) >= kReadyShare * static_cast<double>(seats);
-  return enough ? chosen : list;
+  const bool is_sufficient =
+      assigned_count >= kMinAssignedRouters &&
+      static_cast<double>(chosen.size()) >= kMinReadyShare * static_cast<double>(assigned_count);
+  return is_sufficient ? chosen : list;
 }
 
-void RouterDirectory::cut(std::vector<fleet::RouterRecord>& list, const std::string& zone, size_t limit) {
+void RouterDirectory::truncate(std::vector<fleet::RouterRecord>& list, const std::string& zone,
+                               size_t limit) {
   if (list.size() <= limit) {
     return;
   }
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -1,5 +1,5 @@
-/// The routers of the fleet as a control member hears of them: from their own statuses and from the members
-/// that they follow. Free of I/O.
+/// The routers of the fleet as a control member knows them: from their own statuses, and from the members
+/// that they follow. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -12,69 +12,71 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// Tracks the routers of the fleet and selects those that callers are given.
 class RouterDirectory {
  public:
   RouterDirectory() = default;
   explicit RouterDirectory(topology::Topology topology) : topology_(std::move(topology)) {}
 
-  /// A router tells its state. Returns true when that is new.
+  /// Handles a router's status. Returns true when the router's record has changed.
   bool on_status(const fleet::RouterRecord& router, TimePoint now);
-  /// Another member tells of a router that follows it, or no longer hears it.
+  /// Handles a notice of another member that a router follows it, or is no longer connected to it.
   void on_notice(const std::string& member, const fleet::RouterNotice& notice, TimePoint now);
-  /// This member hears a router no longer.
+  /// Removes a router that is no longer connected to this member.
   void forget(const std::string& router);
-  /// Another member is still heard: so are the routers that it told of.
-  void on_member_heard(const std::string& member, TimePoint now) { members_heard_[member] = now; }
-  /// Drops routers that have been silent for long. To be called a few times a second.
+  /// Records that another member is reachable, and with it the routers that it reported.
+  void on_member_heard(const std::string& member, TimePoint now) { members_last_heard_[member] = now; }
+  /// Removes routers that have been silent for long. To be called a few times a second.
   void expire(TimePoint now);
 
-  /// Routers whose member is not heard now, so that what they tell it does not come to this member.
-  /// `own`: those that follow this member.
+  /// Number of routers whose member is unreachable, so that what they report does not arrive at this member.
+  /// `own`: the routers that follow this member; they are not counted.
   size_t count_unheard(const std::map<std::string, fleet::RouterRecord>& own, TimePoint now) const;
   size_t size() const { return routers_.size(); }
-  /// Those that are ready and not silent, by name.
+  /// The routers that are ready and not silent, by name.
   std::vector<fleet::RouterRecord> ready(TimePoint now) const;
-  /// How many of them there are.
+  /// Number of routers in ready().
   size_t ready_count(TimePoint now) const;
-  /// Up to `limit` ready ones for callers in a zone: those that are assigned to it (assign_to_callers),
-  /// mostly its own. All of its region when the region is small or too few of the assigned ones are ready,
-  /// and those of other regions only when its own has none. The same ones each time, since callers leave a
-  /// router that is not named to them any more.
+  /// Up to `limit` ready routers for the callers in a zone: the routers assigned to the zone
+  /// (assign_routers_to_zones), most of which lie in it. All routers of the region when the region is small
+  /// or too few of the assigned ones are ready, and routers of other regions only when the own region has
+  /// none. The selection is stable, since callers leave a router that is no longer listed.
   std::vector<fleet::RouterRecord> for_callers(const std::string& zone, size_t limit, TimePoint now) const;
 
  private:
-  struct Known {
+  struct KnownRouter {
     fleet::RouterRecord router;
-    TimePoint heard{0};  ///< from itself
-    std::string member;  ///< that told of it; empty: none
+    TimePoint last_status{0};  ///< time of its own last status; 0: none
+    std::string member;        ///< member that reported it; empty: none
   };
-  /// Counts in the assignment to callers, for a while after it was last ready.
-  struct Seat {
+  /// A router that takes part in the assignment to callers, also for a while after it was last ready.
+  struct AssignableRouter {
     std::string zone;
     TimePoint ready_at{0};
   };
-  bool live(const Known& known, TimePoint now) const;
-  void note_seat(const fleet::RouterRecord& router, TimePoint now);
-  /// The routers out of `list` that are assigned to the callers of a zone; all when the assignment does not
-  /// serve them.
-  std::vector<fleet::RouterRecord> assigned_of(const std::string& zone,
-                                               const std::vector<fleet::RouterRecord>& list) const;
-  /// Which zone's callers each router of the region is for. Kept until a seat changes: to work it out for
-  /// each of hundreds of questions a second, with a thousand routers, takes a member some percent of a core.
+  bool is_live(const KnownRouter& known, TimePoint now) const;
+  void note_assignable(const fleet::RouterRecord& router, TimePoint now);
+  /// The routers in `list` that are assigned to the callers of a zone; all of `list` when too few are
+  /// assigned or ready.
+  std::vector<fleet::RouterRecord> select_assigned(const std::string& zone,
+                                                   const std::vector<fleet::RouterRecord>& list) const;
+  /// The zone to whose callers each router of the region is assigned. Cached until an assignable router
+  /// changes: with a thousand routers, computing it for each of hundreds of queries a second takes a member a
+  /// few percent of a core.
   const std::map<std::string, std::string>& assignment_for(const std::string& zone) const;
-  /// Cuts a list to `limit`, those of the zone first, then others that differ from zone to zone.
-  static void cut(std::vector<fleet::RouterRecord>& list, const std::string& zone, size_t limit);
+  /// Truncates a list to `limit`: routers of the zone first, then others in an order that differs between
+  /// zones.
+  static void truncate(std::vector<fleet::RouterRecord>& list, const std::string& zone, size_t limit);
 
-  std::map<std::string, Known> routers_;  ///< by name
-  std::map<std::string, TimePoint> members_heard_;
-  std::map<std::string, Seat> seats_;  ///< by router
-  uint64_t seats_revision_ = 1;        ///< changes when a seat comes, goes or moves
+  std::map<std::string, KnownRouter> routers_;  ///< by name
+  std::map<std::string, TimePoint> members_last_heard_;
+  std::map<std::string, AssignableRouter> assignable_routers_;  ///< by router
+  uint64_t assignable_revision_ = 1;  ///< changes when an assignable router is added, removed or moved
   struct Assignment {
     uint64_t revision = 0;
-    std::map<std::string, std::string> zones;  ///< by router
+    std::map<std::string, std::string> zone_by_router;
   };
-  mutable std::map<std::string, Assignment> assignments_;  ///< by zone of the callers; bounded
+  mutable std::map<std::string, Assignment> assignments_;  ///< by zone of the callers; limited in size
   topology::Topology topology_;
 };
 
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -1,4 +1,4 @@
-/// One router's connection to a control member, and what was told on it.
+/// A router's connection to a control member, and what was sent on it.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace stoat::control {
 
-/// What was told of the lists that only grow or change whole, by their revisions. Routers that were told the
-/// same get the same message.
+/// Revisions sent to a router of those lists that only grow, or that are replaced as a whole. Routers with
+/// equal revisions are sent the same message.
 struct ToldRevisions {
   uint64_t retired = 0;
   uint64_t weights = 0;
@@ -23,19 +23,20 @@
   }
 };
 
-/// See the head of this file.
+/// State of one router's connection.
 struct RouterLink {
-  fleet::RouterStatus status;  ///< the last one
+  fleet::RouterStatus status;  ///< last one received
   std::shared_ptr<wire::Channel> channel;
   TimePoint heard{0};
-  bool silent = false;  ///< taken for gone until it is heard again
+  bool silent = false;  ///< regarded as gone until its next status arrives
   ToldRevisions told;
   FeedCursor cursor;
-  uint64_t configuration_sent = 0;  ///< version
+  uint64_t configuration_sent = 0;  ///< version sent last
   TimePoint configuration_sent_at{0};
-  uint64_t spending_taken = 0;  ///< newest number of spending that came on the connection
+  /// Highest spending number received on this connection; see fleet::RouterLoads.
+  uint64_t spending_taken = 0;
 
-  /// Begins anew on a connection.
+  /// Starts over on a new connection.
   void reconnect(const std::shared_ptr<wire::Channel>& connection) {
     channel = connection;
     told = {};
@@ -45,11 +46,11 @@
   }
 };
 
-/// A message to routers at one cursor, encoded once.
+/// A message for the routers at one cursor, encoded once.
 struct FeedFrame {
-  wire::Frame frame;  ///< empty: nothing is new
-  FeedCursor after;
-  bool complete = true;
+  wire::Frame frame;     ///< empty: there is nothing new
+  FeedCursor after;      ///< cursor of a router that has received the message
+  bool complete = true;  ///< nothing is left to be sent after this message
 };
 
 }  // namespace stoat::control
