--- a/src/control/command.h
+++ b/src/control/command.h
@@ -1,4 +1,4 @@
-/// Commands that go through the replicated log, and the results that applying them gives.
+/// The commands of the replicated log, and the results of applying them.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 namespace stoat::control {
 
-/// Any command. New alternatives go at the end.
+/// Any command. New alternatives go at the end, since the encoding contains the index of the alternative.
 using Command = wire::Packed<fleet::PutConfiguration, fleet::NameWeights, fleet::RetireBackend,
                              fleet::StartServiceRollout, fleet::StepServiceRollout>;
 
-/// How a command ended.
+/// Outcome of applying a command.
 enum class ResultCode : uint8_t {
   kOk,
-  kInvalid,   ///< the command contradicts the state; `message` says how
-  kUnderWay,  ///< another order of its kind runs; `message` says which
+  kInvalid,   ///< the command contradicts the state; `message` gives the reason
+  kUnderWay,  ///< another rollout of the service is in progress; `message` names it
 };
 
-/// The result of a command.
+/// Result of applying a command, returned to its caller.
 struct CommandResult {
   ResultCode code = ResultCode::kOk;
   std::string message;
--- a/src/control/control_core.cc
+++ b/src/control/control_core.cc
@@ -6,7 +6,9 @@
 
 ControlCore::ControlCore(const ControlOptions& options, const consensus::RestoredState& restored,
                          uint64_t seed, TimePoint now)
-    : options_(options), replica_(options.replica, restored, seed, now), applied_(restored.snapshot.index) {
+    : options_(options),
+      replica_(options.replica, restored, seed, now),
+      applied_index_(restored.snapshot.index) {
   if (restored.snapshot.index > 0) {
     state_.load(restored.snapshot.state);
   }
@@ -20,16 +22,17 @@
   replica_.tick(now);
   const bool leads = replica_.leads();
   if (!leads && was_leader_) {
-    // What was proposed may still be committed by another leader: the callers must ask again.
-    fail_waiting(wire::CallStatus::kUnavailable);
+    // Another leader may still commit what this member has proposed, so the outcome is unknown and the
+    // callers must retry.
+    fail_pending(wire::CallStatus::kUnavailable);
   }
   was_leader_ = leads;
   if (leads) {
-    keep_members(now);
+    update_members(now);
   }
 }
 
-void ControlCore::keep_members(TimePoint now) {
+void ControlCore::update_members(TimePoint now) {
   std::vector<MemberView> views;
   for (const consensus::Member& member : replica_.members().members) {
     MemberView view;
@@ -41,28 +44,28 @@
     views.push_back(view);
   }
   // Drops requests of listed members: a stale request would re-add a member after its removal.
-  std::erase_if(joining_, [&](const auto& entry) {
+  std::erase_if(pending_joins_, [&](const auto& entry) {
     const PendingJoin& request = entry.second;
-    return is_listed(request.member.id) || now - request.received >= options_.planner.joining_lease;
+    return is_listed(request.member.id) || now - request.received >= options_.planner.join_request_lifetime;
   });
   std::vector<consensus::Member> joining;
-  for (const auto& [name, request] : joining_) {
+  for (const auto& [name, request] : pending_joins_) {
     joining.push_back(request.member);
   }
-  if (const auto list = plan_members(views, joining, options_.target_voters, options_.planner)) {
-    replica_.propose_members(*list, now);
+  if (const auto new_members = plan_members(views, joining, options_.target_voters, options_.planner)) {
+    replica_.propose_members(*new_members, now);
   }
 }
 
-void ControlCore::fail_waiting(wire::CallStatus status) {
-  for (const auto& [index, call] : waiting_) {
+void ControlCore::fail_pending(wire::CallStatus status) {
+  for (const auto& [index, call] : pending_calls_) {
     answers_.push_back({call.token, status, {}});
   }
-  for (const auto& [read_id, token] : waiting_reads_) {
+  for (const auto& [read_id, token] : pending_reads_) {
     answers_.push_back({token, status, {}});
   }
-  waiting_.clear();
-  waiting_reads_.clear();
+  pending_calls_.clear();
+  pending_reads_.clear();
 }
 
 void ControlCore::call(uint64_t token, const Command& command, TimePoint now) {
@@ -71,7 +74,7 @@
     answers_.push_back({token, wire::CallStatus::kNotLeader, {}});
     return;
   }
-  waiting_[index] = WaitingCall{token, replica_.term()};
+  pending_calls_[index] = PendingCall{token, replica_.term()};
 }
 
 void ControlCore::read(uint64_t token, TimePoint now) {
@@ -80,7 +83,7 @@
     answers_.push_back({token, wire::CallStatus::kNotLeader, {}});
     return;
   }
-  waiting_reads_[read_id] = token;
+  pending_reads_[read_id] = token;
 }
 
 void ControlCore::on_persisted(const consensus::Output& output, TimePoint now) {
@@ -88,41 +91,42 @@
     const consensus::Entry& last = output.append.back();
     replica_.persisted(last.index, last.term, now);
   }
-  if (output.install && output.install->index > applied_) {
+  if (output.install && output.install->index > applied_index_) {
     state_.load(output.install->state);
-    applied_ = output.install->index;
+    applied_index_ = output.install->index;
   }
   for (const consensus::Entry& entry : output.committed) {
     apply(entry);
   }
   for (const uint64_t read_id : output.confirmed_reads) {
-    const auto found = waiting_reads_.find(read_id);
-    if (found != waiting_reads_.end()) {
+    const auto found = pending_reads_.find(read_id);
+    if (found != pending_reads_.end()) {
       answers_.push_back({found->second, wire::CallStatus::kDone, {}});
-      waiting_reads_.erase(found);
+      pending_reads_.erase(found);
     }
   }
 }
 
 void ControlCore::apply(const consensus::Entry& entry) {
-  if (entry.index != applied_ + 1) {
-    return;  // covered by a snapshot already
+  if (entry.index != applied_index_ + 1) {
+    return;  // already covered by a snapshot
   }
-  applied_ = entry.index;
+  applied_index_ = entry.index;
   CommandResult result;
   if (entry.kind == consensus::EntryKind::kCommand) {
     if (const auto command = wire::decode<Command>(entry.payload)) {
       result = state_.apply(*command);
     }
   }
-  const auto found = waiting_.find(entry.index);
-  if (found == waiting_.end()) {
+  const auto found = pending_calls_.find(entry.index);
+  if (found == pending_calls_.end()) {
     return;
   }
-  const bool same_entry = found->second.term == entry.term;
-  answers_.push_back(
-      {found->second.token, same_entry ? wire::CallStatus::kDone : wire::CallStatus::kUnavailable, result});
-  waiting_.erase(found);
+  const bool own_proposal_committed = found->second.term == entry.term;
+  answers_.push_back({found->second.token,
+                      own_proposal_committed ? wire::CallStatus::kDone : wire::CallStatus::kUnavailable,
+                      result});
+  pending_calls_.erase(found);
 }
 
 std::vector<CallAnswer> ControlCore::take_answers() {
@@ -132,12 +136,12 @@
 }
 
 std::optional<DueSnapshot> ControlCore::due_snapshot() const {
-  if (applied_ < replica_.snapshot_index() + options_.entries_per_snapshot) {
+  if (applied_index_ < replica_.snapshot_index() + options_.entries_per_snapshot) {
     return std::nullopt;
   }
   DueSnapshot due;
-  due.snapshot.index = applied_;
-  due.snapshot.term = replica_.term_at(applied_);
+  due.snapshot.index = applied_index_;
+  due.snapshot.term = replica_.term_at(applied_index_);
   due.snapshot.members = replica_.committed_members();
   due.snapshot.state = state_.save();
   due.hard_state = consensus::HardState{replica_.term(), replica_.voted_for()};
@@ -172,10 +176,10 @@
 void ControlCore::on_join(const wire::JoinRequest& request, TimePoint now) {
   const consensus::Member& member = request.member;
   if (is_listed(member.id)) {
-    joining_.erase(member.name);
+    pending_joins_.erase(member.name);
     return;
   }
-  joining_[member.name] = {member, now};
+  pending_joins_[member.name] = {member, now};
 }
 
 }  // namespace stoat::control
--- a/src/control/control_program.h
+++ b/src/control/control_program.h
@@ -1,4 +1,4 @@
-/// A control member as a process: the member, the listeners for its callers, and its metrics.
+/// The process of a control member: the member itself, its listeners and its metrics.
 #pragma once
 
 #include "src/control/fleet_admin_api.h"
@@ -9,21 +9,21 @@
 /// Settings of the process.
 struct ControlProgramSettings {
   FleetControlSettings fleet;
-  Endpoint control;    ///< for operators and back ends
-  Endpoint directory;  ///< for callers that look for routers
+  Endpoint control;    ///< for operators and backends
+  Endpoint directory;  ///< for callers that look up routers
   Endpoint metrics;
-  double directory_lifetime_s = 2;  ///< how long callers may keep an answer of the directory
+  double directory_lifetime_s = 2;  ///< how long callers may cache an answer of the directory
 };
 
-/// Reads the settings of the process.
+/// Reads the settings of the process. Invalid values become findings of `reader`.
 ControlProgramSettings read_control_program_settings(SettingsReader& reader);
 
-/// See the head of this file.
+/// Runs a control member and its listeners.
 class ControlProgram {
  public:
   ControlProgram(EventLoop& loop, const ControlProgramSettings& settings,
                  const FleetInterface& interface = {});
-  /// Takes the settings that may change while the process runs.
+  /// Applies the settings that may change while the process runs.
   void reload(const ControlProgramSettings& settings) { fleet_.set_seeds(settings.fleet.seeds); }
 
  private:
--- a/src/control/durable_driver.cc
+++ b/src/control/durable_driver.cc
@@ -6,18 +6,18 @@
 
 namespace {
 
-constexpr size_t kMaxBatch = 256;
+constexpr size_t kMaxJobsPerBatch = 256;
 
-/// Puts a later output behind an earlier one, so that both are written with one sync.
-void merge_for_disk(consensus::Output& earlier, const consensus::Output& later) {
+/// Appends a later output to an earlier one, so that both are written with one sync.
+void merge_output(consensus::Output& earlier, const consensus::Output& later) {
   if (later.hard_state) {
     earlier.hard_state = later.hard_state;
   }
   earlier.append.insert(earlier.append.end(), later.append.begin(), later.append.end());
 }
 
-/// An output that overwrites can't share a write with what came before it.
-bool mergeable(const consensus::Output& output) { return !output.install && output.truncate_from == 0; }
+/// An output that replaces stored entries can't be combined with the ones before it.
+bool can_merge(const consensus::Output& output) { return !output.install && output.truncate_from == 0; }
 
 }  // namespace
 
@@ -30,58 +30,58 @@
       after_apply_(std::move(after_apply)),
       on_failure_(std::move(on_failure)),
       log_bytes_(store.log_bytes()),
-      disk_thread_([this] { run_disk(); }) {}
+      disk_thread_([this] { run_disk_thread(); }) {}
 
 DurableDriver::~DurableDriver() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     stopping_ = true;
   }
-  wake_.notify_one();
+  wake_disk_thread_.notify_one();
   disk_thread_.join();
 }
 
 void DurableDriver::drive() {
-  if (failed_ || driving_) {
+  if (write_failed_ || in_drive_) {
     return;
   }
-  driving_ = true;
+  in_drive_ = true;
   for (;;) {
     auto output = std::make_shared<consensus::Output>(core_.take_output());
     for (const consensus::Message& message : output->send_now) {
       send_(message);
     }
-    const bool nothing = !output->needs_disk() && output->send_after_persist.empty() &&
-                         output->committed.empty() && output->confirmed_reads.empty();
-    if (nothing) {
+    const bool is_empty = !output->needs_disk() && output->send_after_persist.empty() &&
+                          output->committed.empty() && output->confirmed_reads.empty();
+    if (is_empty) {
       break;
     }
-    if (!output->needs_disk() && jobs_open_ == 0) {
+    if (!output->needs_disk() && open_jobs_ == 0) {
       complete({Job{output, nullptr, nullptr, {}}});
       continue;
     }
-    ++jobs_open_;
+    ++open_jobs_;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       jobs_.push_back(Job{output, nullptr, nullptr, {}});
     }
-    wake_.notify_one();
+    wake_disk_thread_.notify_one();
   }
   start_snapshot();
-  driving_ = false;
+  in_drive_ = false;
   after_apply_();
 }
 
 void DurableDriver::start_snapshot() {
-  if (snapshot_under_way_ || jobs_open_ > 0) {
+  if (snapshot_in_progress_ || open_jobs_ > 0) {
     return;
   }
   auto due = core_.due_snapshot();
   if (!due) {
     return;
   }
-  snapshot_under_way_ = true;
-  ++jobs_open_;
+  snapshot_in_progress_ = true;
+  ++open_jobs_;
   Job job;
   job.snapshot = std::make_shared<DueSnapshot>(std::move(*due));
   job.encoded = std::make_shared<const std::string>(wire::encode(job.snapshot->snapshot));
@@ -90,19 +90,19 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     jobs_.push_back(std::move(job));
   }
-  wake_.notify_one();
+  wake_disk_thread_.notify_one();
 }
 
-void DurableDriver::run_disk() {
+void DurableDriver::run_disk_thread() {
   for (;;) {
     std::vector<Job> batch;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
+      wake_disk_thread_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
       if (stopping_) {
         return;
       }
-      while (!jobs_.empty() && batch.size() < kMaxBatch) {
+      while (!jobs_.empty() && batch.size() < kMaxJobsPerBatch) {
         batch.push_back(std::move(jobs_.front()));
         jobs_.pop_front();
       }
@@ -129,28 +129,28 @@
     merged.append = job.output->append;
     ++position;
     while (position < batch.size() && batch[position].snapshot == nullptr &&
-           mergeable(*batch[position].output)) {
-      merge_for_disk(merged, *batch[position].output);
+           can_merge(*batch[position].output)) {
+      merge_output(merged, *batch[position].output);
       ++position;
     }
     result = store_.write(merged);
     ++syncs;
   }
-  auto done = std::make_shared<std::vector<Job>>(std::move(batch));
+  auto completed = std::make_shared<std::vector<Job>>(std::move(batch));
   const uint64_t log_bytes = store_.log_bytes();
-  loop_.post([this, alive = std::weak_ptr<const bool>(alive_), done, result, syncs, log_bytes] {
+  loop_.post([this, alive = std::weak_ptr<const bool>(alive_), completed, result, syncs, log_bytes] {
     if (alive.expired()) {
       return;
     }
     syncs_ += syncs;
     log_bytes_ = log_bytes;
     if (!result) {
-      failed_ = true;
+      write_failed_ = true;
       on_failure_(result.error());
       return;
     }
-    jobs_open_ -= done->size();
-    complete(*done);
+    open_jobs_ -= completed->size();
+    complete(*completed);
     drive();
   });
 }
@@ -159,7 +159,7 @@
   for (const Job& job : batch) {
     if (job.snapshot != nullptr) {
       core_.compact(job.encoded, job.snapshot->snapshot);
-      snapshot_under_way_ = false;
+      snapshot_in_progress_ = false;
       continue;
     }
     core_.on_persisted(*job.output, loop_.now());
--- a/src/control/durable_driver.h
+++ b/src/control/durable_driver.h
@@ -1,5 +1,5 @@
-/// Runs a ControlCore on a disk: outputs are written and synced in order on a thread of their own, many at
-/// once when the disk is slower than the requests (group commit).
+/// Writes the outputs of a ControlCore to disk, in order and on a separate thread. When outputs arrive faster
+/// than the disk can sync them, several are written with one sync (group commit).
 #pragma once
 
 #include <condition_variable>
@@ -15,7 +15,8 @@
 
 namespace stoat::control {
 
-/// See the head of this file. A failed write calls `on_failure` and nothing is acknowledged any more.
+/// Runs a ControlCore with durable storage. After a failed write, `on_failure` is called and nothing more is
+/// acknowledged.
 class DurableDriver {
  public:
   using SendHandler = std::function<void(const consensus::Message&)>;
@@ -27,22 +28,22 @@
   DurableDriver(const DurableDriver&) = delete;
   DurableDriver& operator=(const DurableDriver&) = delete;
 
-  /// To be called after every call into the core.
+  /// Processes the pending output of the core. To be called after every call into the core.
   void drive();
   uint64_t syncs() const { return syncs_; }
-  /// Size of the log file after the last write that has completed.
+  /// Size of the log file in bytes after the last completed write.
   uint64_t log_bytes() const { return log_bytes_; }
 
  private:
   using OutputPtr = std::shared_ptr<consensus::Output>;
-  /// One piece of work for the disk thread: an output, or a snapshot.
+  /// A job for the disk thread: either an output or a snapshot.
   struct Job {
     OutputPtr output;
     std::shared_ptr<DueSnapshot> snapshot;
     std::shared_ptr<const std::string> encoded;
     std::vector<consensus::Entry> entries_after;
   };
-  void run_disk();
+  void run_disk_thread();
   void write(std::vector<Job>& batch);
   void complete(const std::vector<Job>& batch);
   void start_snapshot();
@@ -53,16 +54,16 @@
   SendHandler send_;
   std::function<void()> after_apply_;
   FailureHandler on_failure_;
-  bool failed_ = false;
-  bool snapshot_under_way_ = false;
-  bool driving_ = false;
-  size_t jobs_open_ = 0;
+  bool write_failed_ = false;
+  bool snapshot_in_progress_ = false;
+  bool in_drive_ = false;
+  size_t open_jobs_ = 0;
   uint64_t syncs_ = 0;
   uint64_t log_bytes_ = 0;
-  /// Goes with the driver; what the disk thread has posted and runs later looks whether it is still there.
+  /// Destroyed with the driver. Callbacks posted by the disk thread check it before they access the driver.
   std::shared_ptr<const bool> alive_ = std::make_shared<const bool>(true);
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable wake_disk_thread_;
   std::deque<Job> jobs_;
   bool stopping_ = false;
   std::thread disk_thread_;
--- a/src/control/forwarded_calls.cc
+++ b/src/control/forwarded_calls.cc
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Callers turn to another member after a second without an answer; an election takes 250 to 700 ms.
-constexpr Duration kLeaderWait = 900ms;
+/// Callers switch to another member after a second without an answer; an election takes 250 to 700 ms.
+constexpr Duration kMaxLeaderWait = 900ms;
 
 }  // namespace
 
@@ -15,13 +15,13 @@
   }
   leader_ = address;
   leaderless_since_ = now;
-  for (auto& [token, kept] : calls_) {
-    kept.sent = false;
+  for (auto& [token, pending] : calls_) {
+    pending.sent = false;
   }
 }
 
 bool ForwardedCalls::add(uint64_t token, wire::Message message, TimePoint now) {
-  if (leader_.empty() && now - leaderless_since_ > kLeaderWait) {
+  if (leader_.empty() && now - leaderless_since_ > kMaxLeaderWait) {
     return false;
   }
   calls_[token] = {std::move(message), false, now};
@@ -33,10 +33,10 @@
   if (leader_.empty()) {
     return due;
   }
-  for (auto& [token, kept] : calls_) {
-    if (!kept.sent) {
-      kept.sent = true;
-      due.push_back({token, kept.message});
+  for (auto& [token, pending] : calls_) {
+    if (!pending.sent) {
+      pending.sent = true;
+      due.push_back({token, pending.message});
     }
   }
   return due;
@@ -44,8 +44,8 @@
 
 std::vector<uint64_t> ForwardedCalls::leaderless(TimePoint now) const {
   std::vector<uint64_t> tokens;
-  for (const auto& [token, kept] : calls_) {
-    if (leader_.empty() && now - kept.since > kLeaderWait) {
+  for (const auto& [token, pending] : calls_) {
+    if (leader_.empty() && now - pending.added_at > kMaxLeaderWait) {
       tokens.push_back(token);
     }
   }
--- a/src/control/forwarded_calls.h
+++ b/src/control/forwarded_calls.h
@@ -1,6 +1,6 @@
-/// Calls that this member has sent on to the leader. One that a dead leader took, or that comes in during an
-/// election, is sent to the next leader instead of being lost: its caller waits a second at most. All
-/// commands may be repeated. Free of I/O.
+/// Calls that this member has forwarded to the leader. A call that was sent to a failed leader, or that
+/// arrives during an election, is sent to the next leader, so that it is not lost; its caller waits a second
+/// at most. This requires that any command may be repeated. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,37 +13,37 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// Tracks forwarded calls until they end.
 class ForwardedCalls {
  public:
-  /// A call to send on.
+  /// A call to be sent to the leader.
   struct Call {
     uint64_t token = 0;
     wire::Message message;
   };
 
-  /// Takes note of who leads; empty: nobody that is known. All calls are due again when that changes.
+  /// Sets the current leader; empty when none is known. When it changes, all calls are due again.
   void on_leader(const std::string& address, TimePoint now);
-  /// Keeps a call until it ends. False when it should be refused at once: there has been no leader for longer
-  /// than an election takes.
+  /// Keeps a call until it ends. False when the call should be refused at once, because there has been no
+  /// leader for longer than an election takes.
   bool add(uint64_t token, wire::Message message, TimePoint now);
   bool holds(uint64_t token) const { return calls_.count(token) > 0; }
-  /// A call has ended.
+  /// Removes a call that has ended.
   void erase(uint64_t token) { calls_.erase(token); }
-  /// The calls that the present leader has not been sent yet. They count as sent.
+  /// The calls that the current leader has not been sent yet. Marks them as sent.
   std::vector<Call> take_due();
-  /// Calls that no leader could be found for in time. They are to be refused.
+  /// Calls for which no leader was found in time. They should be refused.
   std::vector<uint64_t> leaderless(TimePoint now) const;
 
  private:
-  struct Kept {
+  struct PendingCall {
     wire::Message message;
-    bool sent = false;  ///< to the present leader
-    TimePoint since{0};
+    bool sent = false;  ///< to the current leader
+    TimePoint added_at{0};
   };
   std::string leader_;
   TimePoint leaderless_since_{0};
-  std::map<uint64_t, Kept> calls_;  ///< by token
+  std::map<uint64_t, PendingCall> calls_;  ///< by token
 };
 
 }  // namespace stoat::control
--- a/src/control/leader_confirmation.h
+++ b/src/control/leader_confirmation.h
@@ -1,6 +1,6 @@
-/// How a follower learns when the leader was last confirmed by a quorum, so that it can tell its routers:
-/// their right to honour keys depends on it. The age is counted from when the question was sent, never from
-/// when the answer came.
+/// How a follower learns when a quorum last confirmed the leader. It passes this on to its routers, which may
+/// accept access keys only while the confirmation is recent. The age of a confirmation counts from when the
+/// request was sent, never from when the answer arrived.
 #pragma once
 
 #include <cstdint>
@@ -12,43 +12,43 @@
 
 namespace stoat::control {
 
-/// At `at`, or later, a quorum confirmed the leader, and no configuration above `version` was in force.
+/// A quorum confirmed the leader at `at` or later, when no configuration above `version` was in force.
 struct LeaderConfirmation {
   TimePoint at{0};
   uint64_t version = 0;
 };
 
-/// See the head of this file. Free of I/O.
+/// Numbers the requests to the leader and keeps the newest confirmation. Performs no I/O.
 class LeaderQuestions {
  public:
-  /// A question to be sent to the leader now.
+  /// A request to be sent to the leader now.
   fleet::ConfirmationQuestion ask(TimePoint now) {
-    asked_[++last_number_] = now;
-    if (asked_.size() > kMaxOpen) {
-      asked_.erase(asked_.begin());
+    request_times_[++last_request_number_] = now;
+    if (request_times_.size() > kMaxOpenRequests) {
+      request_times_.erase(request_times_.begin());
     }
-    return {last_number_};
+    return {last_request_number_};
   }
-  /// Takes the leader's answer. Answers to questions that are not known any more are dropped.
+  /// Handles the leader's answer. Answers to unknown requests are ignored.
   void on_answer(const fleet::ConfirmationAnswer& answer) {
-    const auto asked = asked_.find(answer.number);
-    if (asked == asked_.end()) {
+    const auto request_time = request_times_.find(answer.number);
+    if (request_time == request_times_.end()) {
       return;
     }
-    const TimePoint at = asked->second - Duration(1000 * answer.quorum_age_ms);
-    asked_.erase(asked_.begin(), std::next(asked));
-    if (answer.quorum_age_ms >= 0 && (!newest_ || at > newest_->at)) {
-      newest_ = LeaderConfirmation{at, answer.configuration_version};
+    const TimePoint confirmed_at = request_time->second - Duration(1000 * answer.quorum_age_ms);
+    request_times_.erase(request_times_.begin(), std::next(request_time));
+    if (answer.quorum_age_ms >= 0 && (!newest_ || confirmed_at > newest_->at)) {
+      newest_ = LeaderConfirmation{confirmed_at, answer.configuration_version};
     }
   }
-  /// The newest confirmation known.
+  /// The newest confirmation; nullopt when there was none yet.
   const std::optional<LeaderConfirmation>& newest() const { return newest_; }
 
  private:
-  /// Questions without an answer that are kept; one is sent each 100 ms.
-  static constexpr size_t kMaxOpen = 32;
-  std::map<uint64_t, TimePoint> asked_;  ///< by number
-  uint64_t last_number_ = 0;
+  /// Maximum number of unanswered requests that are remembered; one is sent every 100 ms.
+  static constexpr size_t kMaxOpenRequests = 32;
+  std::map<uint64_t, TimePoint> request_times_;  ///< time of sending, by number
+  uint64_t last_request_number_ = 0;
   std::optional<LeaderConfirmation> newest_;
 };
 
--- a/src/control/member_planner.cc
+++ b/src/control/member_planner.cc
@@ -10,58 +10,62 @@
 using consensus::MemberId;
 using consensus::MemberList;
 
-MemberList list_of(const std::vector<MemberView>& present) {
+MemberList to_member_list(const std::vector<MemberView>& current) {
   MemberList list;
-  for (const MemberView& view : present) {
+  for (const MemberView& view : current) {
     list.members.push_back(view.member);
   }
   return list;
 }
 
-size_t count_voters(const std::vector<MemberView>& present) {
-  return static_cast<size_t>(std::count_if(present.begin(), present.end(),
+size_t count_voters(const std::vector<MemberView>& current) {
+  return static_cast<size_t>(std::count_if(current.begin(), current.end(),
                                            [](const MemberView& view) { return view.member.voter; }));
 }
 
-/// True when another member has the same address: a disk was lost there, and this identity with it.
-bool superseded(const MemberView& candidate, const std::vector<MemberView>& present) {
-  return std::any_of(present.begin(), present.end(), [&](const MemberView& other) {
+/// True when a member with the same address has answered more recently: the disk at this address was lost,
+/// and with it the identity of `candidate`.
+bool is_superseded(const MemberView& candidate, const std::vector<MemberView>& current) {
+  return std::any_of(current.begin(), current.end(), [&](const MemberView& other) {
     return other.member.id != candidate.member.id && other.member.address == candidate.member.address &&
            other.silence < candidate.silence;
   });
 }
 
-/// The voter to go first: one whose disk was lost, else the one silent the longest; nullptr when all live.
-const MemberView* voter_to_replace(const std::vector<MemberView>& present, const PlannerOptions& options) {
-  const MemberView* worst = nullptr;
-  for (const MemberView& view : present) {
+/// The voter to remove first: one whose disk was lost, else the one that has been silent the longest; nullptr
+/// when all voters answer.
+const MemberView* voter_to_replace(const std::vector<MemberView>& current, const PlannerOptions& options) {
+  const MemberView* longest_silent = nullptr;
+  for (const MemberView& view : current) {
     if (!view.member.voter) {
       continue;
     }
-    if (superseded(view, present)) {
+    if (is_superseded(view, current)) {
       return &view;
     }
-    if (view.silence > options.voter_silence && (worst == nullptr || view.silence > worst->silence)) {
-      worst = &view;
+    if (view.silence > options.max_voter_silence &&
+        (longest_silent == nullptr || view.silence > longest_silent->silence)) {
+      longest_silent = &view;
     }
   }
-  return worst;
+  return longest_silent;
 }
 
-std::optional<MemberList> without(const std::vector<MemberView>& present, MemberId id) {
-  MemberList list = list_of(present);
+std::optional<MemberList> remove_member(const std::vector<MemberView>& current, MemberId id) {
+  MemberList list = to_member_list(current);
   std::erase_if(list.members, [id](const Member& member) { return member.id == id; });
   return list;
 }
 
-std::optional<MemberList> take_in(const std::vector<MemberView>& present,
-                                  const std::vector<Member>& joining) {
-  for (const Member& newcomer : joining) {
-    const bool known = std::any_of(present.begin(), present.end(),
-                                   [&](const MemberView& view) { return view.member.id == newcomer.id; });
-    if (!known) {
-      MemberList list = list_of(present);
-      list.members.push_back(newcomer);
+std::optional<MemberList> add_learner(const std::vector<MemberView>& current,
+                                      const std::vector<Member>& joining) {
+  for (const Member& joining_member : joining) {
+    const bool is_listed = std::any_of(current.begin(), current.end(), [&](const MemberView& view) {
+      return view.member.id == joining_member.id;
+    });
+    if (!is_listed) {
+      MemberList list = to_member_list(current);
+      list.members.push_back(joining_member);
       list.members.back().voter = false;
       return list;
     }
@@ -69,12 +73,13 @@
   return std::nullopt;
 }
 
-std::optional<MemberList> promote(const std::vector<MemberView>& present, const PlannerOptions& options) {
-  for (const MemberView& view : present) {
-    if (view.member.voter || !view.caught_up || view.silence > options.voter_silence / 2) {
+std::optional<MemberList> promote_learner(const std::vector<MemberView>& current,
+                                          const PlannerOptions& options) {
+  for (const MemberView& view : current) {
+    if (view.member.voter || !view.caught_up || view.silence > options.max_voter_silence / 2) {
       continue;
     }
-    MemberList list = list_of(present);
+    MemberList list = to_member_list(current);
     for (Member& member : list.members) {
       member.voter = member.voter || member.id == view.member.id;
     }
@@ -83,11 +88,11 @@
   return std::nullopt;
 }
 
-std::optional<MemberList> drop_dead_learner(const std::vector<MemberView>& present,
-                                            const PlannerOptions& options) {
-  for (const MemberView& view : present) {
-    if (!view.member.voter && (superseded(view, present) || view.silence > options.learner_silence)) {
-      return without(present, view.member.id);
+std::optional<MemberList> remove_stale_learner(const std::vector<MemberView>& current,
+                                               const PlannerOptions& options) {
+  for (const MemberView& view : current) {
+    if (!view.member.voter && (is_superseded(view, current) || view.silence > options.max_learner_silence)) {
+      return remove_member(current, view.member.id);
     }
   }
   return std::nullopt;
@@ -95,23 +100,23 @@
 
 }  // namespace
 
-std::optional<MemberList> plan_members(const std::vector<MemberView>& present,
+std::optional<MemberList> plan_members(const std::vector<MemberView>& current,
                                        const std::vector<Member>& joining, size_t target_voters,
                                        const PlannerOptions& options) {
-  const size_t voters = count_voters(present);
-  const MemberView* failing = voter_to_replace(present, options);
-  if (voters > target_voters && failing != nullptr) {
-    return without(present, failing->member.id);
+  const size_t voters = count_voters(current);
+  const MemberView* outgoing = voter_to_replace(current, options);
+  if (voters > target_voters && outgoing != nullptr) {
+    return remove_member(current, outgoing->member.id);
   }
-  if (voters < target_voters || (voters == target_voters && failing != nullptr)) {
-    if (auto list = promote(present, options)) {
+  if (voters < target_voters || (voters == target_voters && outgoing != nullptr)) {
+    if (auto list = promote_learner(current, options)) {
       return list;
     }
   }
-  if (auto list = take_in(present, joining)) {
+  if (auto list = add_learner(current, joining)) {
     return list;
   }
-  return drop_dead_learner(present, options);
+  return remove_stale_learner(current, options);
 }
 
 }  // namespace stoat::control
--- a/src/control/member_planner.h
+++ b/src/control/member_planner.h
@@ -1,6 +1,7 @@
-/// Decides the next member list of a replicated log that keeps itself at a number of voters: takes in members
-/// that ask to join, makes learners that have caught up voters, and removes voters that were replaced. One
-/// change at a time; a voter is added before another is removed, so that the log is never on fewer disks.
+/// Plans the changes of the member list that keep the replicated log at a target number of voters: joining
+/// members are added as learners, learners that have caught up become voters, and replaced voters are
+/// removed. One change is made at a time. A voter is added before another is removed, so that the log is
+/// never on fewer disks.
 #pragma once
 
 #include <optional>
@@ -11,22 +12,22 @@
 
 namespace stoat::control {
 
-/// Settings of the planner.
+/// Settings for changes of the member list.
 struct PlannerOptions {
-  Duration voter_silence = 1500ms;  ///< a voter silent for so long may be replaced by a learner
-  Duration learner_silence = 10s;   ///< a learner silent for so long is dropped
-  Duration joining_lease = 1500ms;  ///< how long a request to join counts
+  Duration max_voter_silence = 1500ms;      ///< a voter silent for longer may be replaced by a learner
+  Duration max_learner_silence = 10s;       ///< a learner silent for longer is removed
+  Duration join_request_lifetime = 1500ms;  ///< how long a join request remains valid
 };
 
-/// What the leader knows of one member of the present list.
+/// What the leader knows of one member of the current list.
 struct MemberView {
   consensus::Member member;
-  bool caught_up = false;  ///< its log matches but for the newest entries
-  Duration silence{0};     ///< since its last answer; 0 for the leader itself
+  bool caught_up = false;  ///< its log matches except for the newest entries
+  Duration silence{0};     ///< time since its last answer; 0 for the leader itself
 };
 
-/// The next list, or nothing when the present one is as it should be.
-std::optional<consensus::MemberList> plan_members(const std::vector<MemberView>& present,
+/// The next member list, or nullopt when no change is needed. At most one member differs.
+std::optional<consensus::MemberList> plan_members(const std::vector<MemberView>& current,
                                                   const std::vector<consensus::Member>& joining,
                                                   size_t target_voters, const PlannerOptions& options);
 
--- a/src/control/state_machine.cc
+++ b/src/control/state_machine.cc
@@ -6,13 +6,13 @@
 
 CommandResult StateMachine::apply(const Command& command) {
   if (const auto* start = std::get_if<fleet::StartServiceRollout>(&command.value)) {
-    return apply_start(*start);
+    return apply_rollout_start(*start);
   }
   std::visit([this](const auto& fleet_command) { fleet_.apply(fleet_command); }, command.value);
   return {};
 }
 
-CommandResult StateMachine::apply_start(const fleet::StartServiceRollout& start) {
+CommandResult StateMachine::apply_rollout_start(const fleet::StartServiceRollout& start) {
   CommandResult result;
   switch (fleet_.apply(start)) {
     case fleet::RolloutVerdict::kTaken:
--- a/src/control/state_machine.h
+++ b/src/control/state_machine.h
@@ -7,20 +7,21 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// Applies replicated commands to the state of the fleet.
 class StateMachine {
  public:
-  /// Applies one command. Deterministic.
+  /// Applies one command. Must be deterministic.
   CommandResult apply(const Command& command);
 
-  /// The whole state as bytes, and back. load() leaves the state alone when the bytes are bad.
+  /// Encodes and restores the whole state. load() returns false and leaves the state unchanged when the bytes
+  /// are malformed.
   std::string save() const;
   bool load(const std::string& bytes);
 
   const fleet::FleetState& fleet() const { return fleet_; }
 
  private:
-  CommandResult apply_start(const fleet::StartServiceRollout& start);
+  CommandResult apply_rollout_start(const fleet::StartServiceRollout& start);
 
   fleet::FleetState fleet_;
 };
--- a/tests/unit/control_core_test.cc
+++ b/tests/unit/control_core_test.cc
@@ -1,4 +1,4 @@
-/// One control member without its I/O: when it asks the others to be taken in.
+/// When a control member requests to join.
 #include "src/control/control_core.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace stoat::control {
 namespace {
 
-constexpr consensus::MemberId kOwn = 7;
+constexpr consensus::MemberId kOwnId = 7;
 
 consensus::RestoredState restored_with(const std::vector<consensus::Member>& members) {
   consensus::RestoredState restored;
@@ -20,25 +20,25 @@
 
 ControlCore core_with(const std::vector<consensus::Member>& members) {
   ControlOptions options;
-  options.replica.id = kOwn;
+  options.replica.id = kOwnId;
   return ControlCore(options, restored_with(members), 1, TimePoint(1s));
 }
 
-TEST(ControlCore, AMemberThatIsInNoListAsksToBeTakenIn) {
+TEST(ControlCore, UnlistedMemberRequestsToJoin) {
   EXPECT_TRUE(core_with({{1, "a", "a", true}}).wants_to_join());
 }
 
-TEST(ControlCore, AVoterOfItsOwnListThatHearsNoLeaderAsksToo) {
-  // The others may have dropped it, or never have committed the list in which it votes.
-  EXPECT_TRUE(core_with({{1, "a", "a", true}, {kOwn, "b", "b", true}}).wants_to_join());
+TEST(ControlCore, ListedVoterWithoutALeaderRequestsToJoin) {
+  // The other members may have removed it, or may never have committed the list in which it is a voter.
+  EXPECT_TRUE(core_with({{1, "a", "a", true}, {kOwnId, "b", "b", true}}).wants_to_join());
 }
 
-TEST(ControlCore, AMemberThatHearsItsLeaderDoesNotAsk) {
-  ControlCore core = core_with({{1, "a", "a", true}, {kOwn, "b", "b", true}});
+TEST(ControlCore, ListedMemberWithALeaderDoesNotRequestToJoin) {
+  ControlCore core = core_with({{1, "a", "a", true}, {kOwnId, "b", "b", true}});
   consensus::Message append;
   append.kind = consensus::MessageKind::kAppend;
   append.from = 1;
-  append.to = kOwn;
+  append.to = kOwnId;
   append.term = 1;
   append.log_index = 1;
   append.log_term = 1;
--- a/tests/unit/forwarded_calls_test.cc
+++ b/tests/unit/forwarded_calls_test.cc
@@ -1,4 +1,4 @@
-/// Calls that wait for a leader, and those that a dead one took.
+/// Calls that wait for a leader, and calls that were sent to a leader that failed.
 #include "src/control/forwarded_calls.h"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 
 using control::ForwardedCalls;
 
-wire::Message read_call(uint64_t token) { return fleet::ConfirmedRead{token}; }
+wire::Message make_read(uint64_t token) { return fleet::ConfirmedRead{token}; }
 
-TEST(ForwardedCalls, ACallGoesToEachLeaderOnce) {
+TEST(ForwardedCalls, SendsACallToEachLeaderOnce) {
   ForwardedCalls calls;
   calls.on_leader("a", 1s);
-  ASSERT_TRUE(calls.add(7, read_call(7), 1s));
+  ASSERT_TRUE(calls.add(7, make_read(7), 1s));
   ASSERT_EQ(calls.take_due().size(), 1U);
   EXPECT_TRUE(calls.take_due().empty());
-  calls.on_leader("", 1200ms);  // it has died
+  calls.on_leader("", 1200ms);  // the leader has failed
   EXPECT_TRUE(calls.take_due().empty());
   calls.on_leader("b", 1600ms);
   ASSERT_EQ(calls.take_due().size(), 1U);
@@ -25,20 +25,20 @@
   EXPECT_TRUE(calls.take_due().empty());
 }
 
-TEST(ForwardedCalls, ACallThatComesDuringAnElectionWaits) {
+TEST(ForwardedCalls, CallDuringAnElectionWaits) {
   ForwardedCalls calls;
   calls.on_leader("a", 1s);
   calls.on_leader("", 2s);
-  EXPECT_TRUE(calls.add(7, read_call(7), 2300ms));
+  EXPECT_TRUE(calls.add(7, make_read(7), 2300ms));
   EXPECT_TRUE(calls.leaderless(3s).empty());
   EXPECT_EQ(calls.leaderless(3300ms), std::vector<uint64_t>{7});
 }
 
-TEST(ForwardedCalls, WithoutALeaderForLongerThanAnElectionCallsAreRefusedAtOnce) {
+TEST(ForwardedCalls, RefusesCallsAtOnceWithoutALeaderForLongerThanAnElection) {
   ForwardedCalls calls;
   calls.on_leader("a", 1s);
   calls.on_leader("", 2s);
-  EXPECT_FALSE(calls.add(7, read_call(7), 4s));
+  EXPECT_FALSE(calls.add(7, make_read(7), 4s));
   EXPECT_FALSE(calls.holds(7));
 }
 
--- a/tests/unit/state_machine_test.cc
+++ b/tests/unit/state_machine_test.cc
@@ -1,4 +1,4 @@
-/// The replicated state machine: what commands do, and its snapshot.
+/// The replicated state machine: the effects of commands, and its snapshot.
 #include "src/control/state_machine.h"
 
 #include <gtest/gtest.h>
@@ -6,35 +6,35 @@
 namespace stoat::control {
 namespace {
 
-Command put(uint64_t version, const std::string& source) {
+Command make_put(uint64_t version, const std::string& source) {
   fleet::PutConfiguration command;
   command.configuration.version = version;
   command.source = source;
   return command;
 }
 
-TEST(StateMachine, PutsOnlyHigherVersionsInForce) {
+TEST(StateMachine, AppliesOnlyHigherVersions) {
   StateMachine state;
-  EXPECT_EQ(state.apply(put(2, "two")).code, ResultCode::kOk);
-  state.apply(put(2, "another two"));
-  state.apply(put(1, "one"));
+  EXPECT_EQ(state.apply(make_put(2, "two")).code, ResultCode::kOk);
+  state.apply(make_put(2, "another two"));
+  state.apply(make_put(1, "one"));
   EXPECT_EQ(state.fleet().source(), "two");
 }
 
-TEST(StateMachine, EqualCommandsGiveEqualBytes) {
+TEST(StateMachine, EqualCommandsProduceEqualSnapshots) {
   StateMachine first;
   StateMachine second;
   for (StateMachine* state : {&first, &second}) {
-    state->apply(put(1, "one"));
+    state->apply(make_put(1, "one"));
     state->apply(fleet::NameWeights{"m", 4});
     state->apply(fleet::RetireBackend{"b", fleet::BackendState::kDraining});
   }
   EXPECT_EQ(first.save(), second.save());
 }
 
-TEST(StateMachine, ASnapshotHoldsTheWholeState) {
+TEST(StateMachine, SnapshotRestoresTheWholeState) {
   StateMachine state;
-  state.apply(put(3, "three"));
+  state.apply(make_put(3, "three"));
   state.apply(fleet::NameWeights{"m", 4});
   state.apply(fleet::RetireBackend{"b", fleet::BackendState::kGone});
   StateMachine restored;
@@ -45,9 +45,9 @@
   EXPECT_EQ(restored.fleet().retired_state("b"), fleet::BackendState::kGone);
 }
 
-TEST(StateMachine, BadBytesLeaveTheStateAlone) {
+TEST(StateMachine, MalformedSnapshotLeavesTheStateUnchanged) {
   StateMachine state;
-  state.apply(put(3, "three"));
+  state.apply(make_put(3, "three"));
   EXPECT_FALSE(state.load("nonsense"));
   EXPECT_EQ(state.fleet().source(), "three");
 }
