--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -1,5 +1,6 @@
-/// Requests that were under way at back ends when these crashed, at a control member: as its own routers and
-/// the other members tell them. Routers are told of those that were at more than one crash. Free of I/O.
+/// Requests that were in progress at backends when the backends crashed, as reported to a control member by
+/// its own routers and by the other members. Requests that were present at more than one crash are reported
+/// to the routers. Performs no I/O.
 #pragma once
 
 #include <utility>
@@ -10,62 +11,65 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// Merges the crash records of routers and members, and publishes the suspect requests.
 class CrashLedger {
  public:
-  /// A router of this member tells what it has seen.
+  /// Merges the records that a router of this member reports.
   void on_router(const std::vector<fleet::CrashRecord>& records, TimePoint now) {
     for (const fleet::CrashRecord& record : records) {
-      if (take(record, now)) {
-        untold_.insert(record.request);
+      if (merge_record(record, now)) {
+        changed_.insert(record.request);
       }
     }
   }
-  /// Another member tells what has changed.
+  /// Merges the records that another member reports.
   void on_peer(const std::vector<fleet::CrashRecord>& records, TimePoint now) {
     for (const fleet::CrashRecord& record : records) {
-      take(record, now);
+      merge_record(record, now);
     }
   }
-  /// Forgets what is long ago.
+  /// Forgets requests whose last crash is long ago.
   void expire(TimePoint now) {
-    for (const uint64_t request : book_.expire(now)) {
-      told_.erase(request);
-      untold_.erase(request);
+    for (const uint64_t request : crash_book_.expire(now)) {
+      suspects_.erase(request);
+      changed_.erase(request);
     }
   }
-  /// What this member's routers have changed since the last call, for the other members.
+  /// Records changed by this member's routers since the last call, to be sent to the other members.
   std::vector<fleet::CrashRecord> take_changes(TimePoint now) {
     std::vector<fleet::CrashRecord> list;
-    for (const uint64_t request : std::exchange(untold_, {})) {
-      list.push_back(book_.record(request, now));
+    for (const uint64_t request : std::exchange(changed_, {})) {
+      list.push_back(crash_book_.record(request, now));
     }
     return list;
   }
-  std::vector<fleet::CrashRecord> all(TimePoint now) const { return book_.all(now); }
-  /// What is known of a request now.
-  fleet::CrashRecord record(uint64_t request, TimePoint now) const { return book_.record(request, now); }
-  /// Requests that routers are told of, by fingerprint, with the known crashes of each; the ages are zero.
-  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>>& told() const { return told_; }
+  std::vector<fleet::CrashRecord> all(TimePoint now) const { return crash_book_.all(now); }
+  /// What is known of one request.
+  fleet::CrashRecord record(uint64_t request, TimePoint now) const {
+    return crash_book_.record(request, now);
+  }
+  /// The requests that are reported to routers, by fingerprint, with the known crashes of each; their ages
+  /// are zero.
+  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>>& told() const { return suspects_; }
 
  private:
-  bool take(const fleet::CrashRecord& record, TimePoint now) {
-    if (!book_.merge(record, now)) {
+  bool merge_record(const fleet::CrashRecord& record, TimePoint now) {
+    if (!crash_book_.merge(record, now)) {
       return false;
     }
-    std::vector<fleet::CrashNotice> notices = book_.record(record.request, now).crashes;
+    std::vector<fleet::CrashNotice> notices = crash_book_.record(record.request, now).crashes;
     if (notices.size() >= admission::kSuspectCrashes) {
       for (fleet::CrashNotice& notice : notices) {
-        notice.age_ms = 0;  // a change of age alone is not a new revision
+        notice.age_ms = 0;  // a change of the age alone must not create a new revision
       }
-      told_.set(record.request, notices);
+      suspects_.set(record.request, notices);
     }
     return true;
   }
 
-  admission::CrashBook book_;
-  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>> told_;
-  std::set<uint64_t> untold_;
+  admission::CrashBook crash_book_;
+  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>> suspects_;
+  std::set<uint64_t> changed_;
 };
 
 }  // namespace stoat::control
--- a/src/control/limit_book.h
+++ b/src/control/limit_book.h
@@ -1,5 +1,5 @@
-/// The limits that back ends have named, at a control member: as its own routers and the other members tell
-/// them. The newest word counts. Free of I/O.
+/// The rate limits that backends have announced, as reported to a control member by its own routers and by
+/// the other members. The latest report applies. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -11,30 +11,30 @@
 
 namespace stoat::control {
 
-/// See the head of this file. Back ends without a limit are not held.
+/// Rate limits by backend. Backends without a limit have no entry.
 class LimitBook {
  public:
-  /// A router of this member tells what it has heard.
+  /// Applies the limits that a router of this member reports.
   void on_router(const std::vector<fleet::BackendLimit>& limits) {
     for (const fleet::BackendLimit& limit : limits) {
       if (set(limit)) {
-        untold_[limit.backend] = limit.per_second;
+        changed_[limit.backend] = limit.per_second;
       }
     }
   }
-  /// Another member tells what has changed.
+  /// Applies the changes that another member reports.
   void on_peer(const std::vector<fleet::BackendLimit>& limits) {
     for (const fleet::BackendLimit& limit : limits) {
       set(limit);
     }
   }
-  /// The registry knows a back end no more.
+  /// Removes the limit of a backend that is no longer registered.
   void forget(const std::string& backend) { limits_.erase(backend); }
 
-  /// What this member's routers have changed since the last call, for the other members.
+  /// Limits changed by this member's routers since the last call, to be sent to the other members.
   std::vector<fleet::BackendLimit> take_changes() {
-    std::vector<fleet::BackendLimit> changes = fleet::to_list(untold_);
-    untold_.clear();
+    std::vector<fleet::BackendLimit> changes = fleet::to_list(changed_);
+    changed_.clear();
     return changes;
   }
   /// All limits.
@@ -45,10 +45,10 @@
     });
     return list;
   }
-  /// The limit of a back end, or `otherwise` when none is known.
-  double per_second(const std::string& backend, double otherwise) const {
+  /// The limit of a backend in requests per second, or `default_limit` when none is known.
+  double per_second(const std::string& backend, double default_limit) const {
     const double* known = limits_.find(backend);
-    return known == nullptr ? otherwise : *known;
+    return known == nullptr ? default_limit : *known;
   }
   const fleet::RevisionTable<std::string, double>& limits() const { return limits_; }
 
@@ -57,8 +57,8 @@
     return limit.per_second > 0 ? limits_.set(limit.backend, limit.per_second) : limits_.erase(limit.backend);
   }
 
-  fleet::RevisionTable<std::string, double> limits_;  ///< requests a second, by id of the back end
-  std::map<std::string, double> untold_;
+  fleet::RevisionTable<std::string, double> limits_;  ///< requests per second, by id of the backend
+  std::map<std::string, double> changed_;
 };
 
 }  // namespace stoat::control
--- a/src/control/load_book.cc
+++ b/src/control/load_book.cc
@@ -15,62 +15,62 @@
 }
 
 void LoadBook::set_router(const std::string& router, const std::vector<BackendLoad>& loads) {
-  std::vector<BackendLoad>& known = routers_[router];
+  std::vector<BackendLoad>& known = router_loads_[router];
   if (known == loads) {
     return;
   }
-  std::map<std::string, bool> touched;
+  std::map<std::string, bool> affected;
   for (const BackendLoad& load : known) {
-    subtract(load, own_[load.backend]);
-    touched[load.backend] = true;
+    subtract(load, own_sums_[load.backend]);
+    affected[load.backend] = true;
   }
   for (const BackendLoad& load : loads) {
-    add(load, own_[load.backend]);
-    touched[load.backend] = true;
+    add(load, own_sums_[load.backend]);
+    affected[load.backend] = true;
   }
   known = loads;
-  for (const auto& [backend, changed] : touched) {
-    changed_[backend] = changed;
-    publish(backend);
+  for (const auto& [backend, changed] : affected) {
+    changed_backends_[backend] = changed;
+    update_total(backend);
   }
 }
 
 void LoadBook::forget_router(const std::string& router) {
   set_router(router, {});
-  routers_.erase(router);
+  router_loads_.erase(router);
 }
 
 void LoadBook::on_peer(const std::string& peer, const std::vector<BackendLoad>& changes) {
-  Loads& sums = peers_[peer];
+  Loads& sums = peer_sums_[peer];
   for (const BackendLoad& change : changes) {
     sums[change.backend] = change;
-    publish(change.backend);
+    update_total(change.backend);
   }
 }
 
 void LoadBook::forget_peer(const std::string& peer) {
-  const auto found = peers_.find(peer);
-  if (found == peers_.end()) {
+  const auto found = peer_sums_.find(peer);
+  if (found == peer_sums_.end()) {
     return;
   }
   const Loads sums = std::move(found->second);
-  peers_.erase(found);
+  peer_sums_.erase(found);
   for (const auto& [backend, sum] : sums) {
-    publish(backend);
+    update_total(backend);
   }
 }
 
-void LoadBook::publish(const std::string& backend) {
+void LoadBook::update_total(const std::string& backend) {
   BackendLoad total;
   total.backend = backend;
-  const auto own = own_.find(backend);
-  if (own != own_.end()) {
+  const auto own = own_sums_.find(backend);
+  if (own != own_sums_.end()) {
     add(own->second, total);
     if (own->second.outstanding == 0 && own->second.prefill_tokens == 0) {
-      own_.erase(own);
+      own_sums_.erase(own);
     }
   }
-  for (auto& [peer, sums] : peers_) {
+  for (auto& [peer, sums] : peer_sums_) {
     const auto sum = sums.find(backend);
     if (sum != sums.end()) {
       add(sum->second, total);
@@ -85,18 +85,18 @@
 
 std::vector<BackendLoad> LoadBook::take_own_changes() {
   std::vector<BackendLoad> changes;
-  for (const auto& [backend, changed] : changed_) {
-    const auto own = own_.find(backend);
-    changes.push_back(own == own_.end() ? BackendLoad{backend, 0, 0} : own->second);
+  for (const auto& [backend, changed] : changed_backends_) {
+    const auto own = own_sums_.find(backend);
+    changes.push_back(own == own_sums_.end() ? BackendLoad{backend, 0, 0} : own->second);
     changes.back().backend = backend;
   }
-  changed_.clear();
+  changed_backends_.clear();
   return changes;
 }
 
 std::vector<BackendLoad> LoadBook::own_sums() const {
   std::vector<BackendLoad> sums;
-  for (const auto& [backend, sum] : own_) {
+  for (const auto& [backend, sum] : own_sums_) {
     sums.push_back(sum);
     sums.back().backend = backend;
   }
--- a/src/control/load_book.h
+++ b/src/control/load_book.h
@@ -1,5 +1,6 @@
-/// How many requests the routers of the fleet have under way at each back end. A member adds up what its own
-/// routers tell, exchanges the sums with the other members, and tells the totals to its routers. Free of I/O.
+/// The number of requests that the routers of the fleet have in progress at each backend. A member sums up
+/// the reports of its own routers, exchanges the sums with the other members, and sends the totals to its
+/// routers. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -11,35 +12,36 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// Aggregates the loads that all routers put on each backend.
 class LoadBook {
  public:
-  /// A router of this member has these requests under way now; at back ends that aren't named, none.
+  /// Replaces the loads of a router of this member. Backends that are not listed have none.
   void set_router(const std::string& router, const std::vector<fleet::BackendLoad>& loads);
-  /// A router of this member is gone, or follows another one.
+  /// Removes a router that has disconnected, or that follows another member.
   void forget_router(const std::string& router);
-  /// Another member tells changes of its sums.
+  /// Applies changes to the sums of another member.
   void on_peer(const std::string& peer, const std::vector<fleet::BackendLoad>& changes);
-  /// Another member is gone, or begins anew.
+  /// Removes the sums of a member that is unreachable, or that sends its full state again.
   void forget_peer(const std::string& peer);
 
   /// The sums of this member's routers that have changed since the last call.
   std::vector<fleet::BackendLoad> take_own_changes();
   /// All sums of this member's routers.
   std::vector<fleet::BackendLoad> own_sums() const;
-  /// The loads of all routers together, in the order of their changes.
+  /// The total loads of all routers by backend, ordered by last change.
   const fleet::RevisionTable<std::string, fleet::BackendLoad>& totals() const { return totals_; }
 
  private:
-  using Loads = std::map<std::string, fleet::BackendLoad>;  ///< by back end
+  using Loads = std::map<std::string, fleet::BackendLoad>;  ///< by backend
   static void add(const fleet::BackendLoad& load, fleet::BackendLoad& sum);
   static void subtract(const fleet::BackendLoad& load, fleet::BackendLoad& sum);
-  void publish(const std::string& backend);
+  void update_total(const std::string& backend);
 
-  std::map<std::string, std::vector<fleet::BackendLoad>> routers_;  ///< by router
-  Loads own_;
-  std::map<std::string, Loads> peers_;
-  std::map<std::string, bool> changed_;  ///< back ends whose own sum has changed
+  std::map<std::string, std::vector<fleet::BackendLoad>> router_loads_;  ///< by router
+  Loads own_sums_;
+  std::map<std::string, Loads> peer_sums_;
+  /// Backends whose own sum has changed since the last take_own_changes().
+  std::map<std::string, bool> changed_backends_;
   fleet::RevisionTable<std::string, fleet::BackendLoad> totals_;
 };
 
--- a/src/control/peer_feeds.cc
+++ b/src/control/peer_feeds.cc
@@ -4,44 +4,45 @@
 
 namespace {
 
-/// A member takes no more news while so many bytes wait for it besides a whole.
-constexpr size_t kMaxUnsentNews = 1U << 20U;
-/// A whole is added when no more than so many bytes wait.
-constexpr size_t kRoomForWhole = 64U << 10U;
-/// Between two wholes to one member: time for the first to arrive over a link that others use as well, and
-/// for the answer.
-constexpr Duration kWholePause = 400ms;
-constexpr size_t kWholeBytesPerMillisecond = 1000;
+/// A member is sent no more updates while this many bytes are queued for it, not counting a full state.
+constexpr size_t kMaxUnsentUpdateBytes = 1U << 20U;
+/// The full state is sent only while no more than this many bytes are queued.
+constexpr size_t kMaxUnsentBytesForFullState = 64U << 10U;
+/// Minimum time between two full states for one member, plus a millisecond for each
+/// kFullStateBytesPerMillisecond bytes of the first: it must arrive over a link that others use as well, and
+/// the member's answer must return.
+constexpr Duration kMinFullStateInterval = 400ms;
+constexpr size_t kFullStateBytesPerMillisecond = 1000;
 
 }  // namespace
 
 bool PeerFeeds::takes_news(const std::string& member, size_t unsent) {
-  Feed& feed = feeds_[member];
-  if (unsent >= kMaxUnsentNews + feed.whole_bytes) {
-    feed.missed = true;
-    feed.owed = true;
+  MemberState& state = members_[member];
+  if (unsent >= kMaxUnsentUpdateBytes + state.full_state_bytes) {
+    state.updates_missed = true;
+    state.full_state_owed = true;
   }
-  return !feed.missed;
+  return !state.updates_missed;
 }
 
 void PeerFeeds::on_request(const std::string& member, TimePoint now) {
-  Feed& feed = feeds_[member];
-  feed.owed = feed.owed || now >= feed.next_whole;
+  MemberState& state = members_[member];
+  state.full_state_owed = state.full_state_owed || now >= state.next_full_state;
 }
 
 bool PeerFeeds::whole_due(const std::string& member, size_t unsent, TimePoint now) const {
-  const auto feed = feeds_.find(member);
-  return feed != feeds_.end() && feed->second.owed && now >= feed->second.next_whole &&
-         unsent <= kRoomForWhole;
+  const auto state = members_.find(member);
+  return state != members_.end() && state->second.full_state_owed && now >= state->second.next_full_state &&
+         unsent <= kMaxUnsentBytesForFullState;
 }
 
 void PeerFeeds::on_whole_sent(const std::string& member, size_t bytes, TimePoint now) {
-  Feed& feed = feeds_[member];
-  feed.owed = false;
-  feed.missed = false;
-  feed.whole_bytes = bytes;
-  feed.next_whole =
-      now + kWholePause + Duration(1000 * static_cast<int64_t>(bytes / kWholeBytesPerMillisecond));
+  MemberState& state = members_[member];
+  state.full_state_owed = false;
+  state.updates_missed = false;
+  state.full_state_bytes = bytes;
+  state.next_full_state = now + kMinFullStateInterval +
+                          Duration(1000 * static_cast<int64_t>(bytes / kFullStateBytesPerMillisecond));
 }
 
 }  // namespace stoat::control
--- a/src/control/peer_feeds.h
+++ b/src/control/peer_feeds.h
@@ -1,5 +1,6 @@
-/// What each of the other members may be sent now: news, and the whole when it lacks some of them. Bounds
-/// what waits on a slow connection and how often the whole goes out. Free of I/O.
+/// Flow control for what is sent to the other members: updates, and the full state for a member that has
+/// missed some. Limits the data that is queued on a slow connection, and how often the full state is sent.
+/// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,28 +11,29 @@
 
 namespace stoat::control {
 
-/// See the head of this file. Members are named by their internal address; `unsent` is what waits to be
-/// written on the connection to one, in bytes.
+/// Decides what may be sent to each member now. Members are identified by their internal address; `unsent` is
+/// the number of bytes queued on the connection to the member.
 class PeerFeeds {
  public:
-  /// False when too much waits. The member then misses news, and is owed the whole.
+  /// True when an update may be sent to a member. False when too much data is queued; the member then misses
+  /// updates, and must be sent the full state.
   bool takes_news(const std::string& member, size_t unsent);
-  /// A member says that it lacks news. Counts only once the last whole has had time to arrive: until then the
-  /// member repeats what it asked before it came.
+  /// Handles a member's request for the full state. It counts only once the last full state has had time to
+  /// arrive: until then the member repeats requests that it made before it received that state.
   void on_request(const std::string& member, TimePoint now);
-  /// True when a member is to be sent the whole now.
+  /// True when the full state should be sent to a member now.
   bool whole_due(const std::string& member, size_t unsent, TimePoint now) const;
-  /// The whole was sent.
+  /// Records that the full state was sent; `bytes` is its size.
   void on_whole_sent(const std::string& member, size_t bytes, TimePoint now);
 
  private:
-  struct Feed {
-    bool owed = false;    ///< the whole
-    bool missed = false;  ///< news since the last whole
-    size_t whole_bytes = 0;
-    TimePoint next_whole{0};
+  struct MemberState {
+    bool full_state_owed = false;
+    bool updates_missed = false;  ///< since the last full state
+    size_t full_state_bytes = 0;
+    TimePoint next_full_state{0};
   };
-  std::map<std::string, Feed> feeds_;
+  std::map<std::string, MemberState> members_;
 };
 
 }  // namespace stoat::control
--- a/tests/unit/peer_feeds_test.cc
+++ b/tests/unit/peer_feeds_test.cc
@@ -1,4 +1,4 @@
-/// What another member is sent over a slow connection.
+/// Flow control toward a member on a slow connection.
 #include "src/control/peer_feeds.h"
 
 #include <gtest/gtest.h>
@@ -6,23 +6,24 @@
 namespace stoat {
 namespace {
 
-constexpr size_t kFull = 64U << 20U;
+constexpr size_t kCongestedBytes = 64U << 20U;
 
-TEST(PeerFeeds, NewsThatWereMissedAreMadeUpForByAWhole) {
+TEST(PeerFeeds, FullStateReplacesMissedUpdates) {
   control::PeerFeeds feeds;
   EXPECT_TRUE(feeds.takes_news("a", 0));
   EXPECT_FALSE(feeds.whole_due("a", 0, 1s));
-  EXPECT_FALSE(feeds.takes_news("a", kFull));
-  EXPECT_FALSE(feeds.takes_news("a", 0)) << "what comes after a gap is of no use";
+  EXPECT_FALSE(feeds.takes_news("a", kCongestedBytes));
+  EXPECT_FALSE(feeds.takes_news("a", 0)) << "updates after a gap are of no use";
   EXPECT_TRUE(feeds.takes_news("b", 0));
-  EXPECT_FALSE(feeds.whole_due("a", kFull, 1s)) << "while much waits it would only wait as well";
+  EXPECT_FALSE(feeds.whole_due("a", kCongestedBytes, 1s))
+      << "it would only be queued behind the data that waits";
   EXPECT_TRUE(feeds.whole_due("a", 0, 1s));
   feeds.on_whole_sent("a", 1000, 1s);
   EXPECT_TRUE(feeds.takes_news("a", 1000));
   EXPECT_FALSE(feeds.whole_due("a", 0, 1s));
 }
 
-TEST(PeerFeeds, QuestionsThatCrossAWholeOnItsWayGetNoSecondOne) {
+TEST(PeerFeeds, RequestsMadeBeforeAFullStateArrivesAreIgnored) {
   control::PeerFeeds feeds;
   feeds.on_request("a", 1s);
   EXPECT_TRUE(feeds.whole_due("a", 0, 1s));
@@ -30,11 +31,11 @@
   feeds.on_request("a", 1s + 300ms);
   feeds.on_request("a", 3s);
   EXPECT_FALSE(feeds.whole_due("a", 0, 3s));
-  feeds.on_request("a", 4s);  // it had 3 s for 2 MB: the whole was lost
+  feeds.on_request("a", 4s);  // it had 3 s for 2 MB: the full state was lost
   EXPECT_TRUE(feeds.whole_due("a", 0, 4s));
 }
 
-TEST(PeerFeeds, ALargeWholeLeavesRoomForNewsBehindIt) {
+TEST(PeerFeeds, LargeFullStateLeavesRoomForUpdates) {
   control::PeerFeeds feeds;
   feeds.on_whole_sent("a", 8U << 20U, 1s);
   EXPECT_TRUE(feeds.takes_news("a", 8U << 20U));
