--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -1,5 +1,5 @@
-/// How a control member speaks to engines and KV stores: orders and questions for their state. The form on
-/// the wire is the implementation's.
+/// How a control member communicates with engines and KV stores: it orders engines to load weights, and reads
+/// reports and cache events. The implementation defines the wire format.
 #pragma once
 
 #include <functional>
@@ -12,34 +12,34 @@
 
 namespace stoat::control {
 
-/// An order to load a version of a model's weights. Running requests pause and go on under the new ones.
+/// An order to load a version of a model's weights. Running requests pause and continue with the new weights.
 struct VersionOrder {
-  std::string engine;   ///< the incarnation that it is meant for
+  std::string engine;   ///< id of the incarnation that the order is for
   std::string address;  ///< "address:port"
   std::string model;
   uint64_t version = 0;
-  std::string holder;  ///< who gives orders
-  uint64_t fence = 0;  ///< of the holder's term; engines refuse lower ones
-  uint64_t expected_sequence = 0;
+  std::string holder;  ///< name of the control member that sends the order
+  uint64_t fence = 0;  ///< fencing token: the term of the holder; engines refuse orders with a lower one
+  uint64_t expected_sequence = 0;  ///< number of orders that the engine must have accepted so far
 };
 
-/// What a cache tells of its changes.
+/// A cache's answer to a poll for events.
 struct CacheEvents {
-  uint64_t epoch = 0;                        ///< changes when the cache has restarted, which empties it
-  uint64_t next_event = 0;                   ///< to ask from the next time
-  bool gap = false;                          ///< changes before these are not to be had any more
-  std::vector<fleet::PartHolding> holdings;  ///< in order
+  uint64_t epoch = 0;                        ///< changes when the cache restarts, which empties it
+  uint64_t next_event = 0;                   ///< `since` of the next poll
+  bool gap = false;                          ///< events before these are no longer available
+  std::vector<fleet::PartHolding> holdings;  ///< in the order of the events
 };
 
-/// See the head of this file. Each callback is called exactly once.
+/// Client of engines and KV stores. Each callback is called exactly once.
 class EngineOrders {
  public:
   virtual ~EngineOrders() = default;
   virtual void send(const VersionOrder& order, std::function<void(OrderAnswer)> on_answer) = 0;
-  /// `on_report` gets nullptr when no report came.
+  /// Requests the report of an engine. `on_report` gets nullptr when no valid report was received.
   virtual void ask(const std::string& address, std::function<void(const EngineReport*)> on_report) = 0;
-  /// Waits up to a second for changes in the cache of an engine or a store after event number `since`. Gets
-  /// nullptr when it can't be reached.
+  /// Waits up to a second for events after number `since` in the cache of an engine or a store. `on_events`
+  /// gets nullptr when no valid answer was received.
   virtual void follow_cache(const std::string& address, uint64_t since,
                             std::function<void(const CacheEvents*)> on_events) = 0;
 };
--- a/src/control/weight_rollout.cc
+++ b/src/control/weight_rollout.cc
@@ -12,8 +12,9 @@
 using fleet::ModelVersion;
 using fleet::NamedWeights;
 
-/// The model of an engine that lags the most, with the version it should have; empty when none lags.
-ModelVersion wanted(const BackendRecord& engine, const NamedWeights& weights) {
+/// The first outdated model of an engine, with the version that it should have; empty when no model is
+/// outdated.
+ModelVersion outdated_model(const BackendRecord& engine, const NamedWeights& weights) {
   for (const ModelVersion& entry : engine.models) {
     const auto named = weights.find(entry.model);
     if (named != weights.end() && entry.version < named->second.newest()) {
@@ -23,19 +24,19 @@
   return {};
 }
 
-/// Since when an engine should have other weights than it has; nullopt when it has the newest.
+/// Since when an engine should have had other weights; nullopt when it has the newest ones.
 std::optional<TimePoint> outdated_since(const BackendRecord& engine, const NamedWeights& weights) {
-  const std::string model = wanted(engine, weights).model;
+  const std::string model = outdated_model(engine, weights).model;
   const auto history = weights.find(model);
   return history == weights.end() ? std::nullopt : history->second.outdated_since(engine.version_of(model));
 }
 
-/// The version of the model that wanted() names.
-uint64_t oldest_version(const BackendRecord& engine, const NamedWeights& weights) {
-  return engine.version_of(wanted(engine, weights).model);
+/// The engine's version of the model that outdated_model() returns.
+uint64_t outdated_model_version(const BackendRecord& engine, const NamedWeights& weights) {
+  return engine.version_of(outdated_model(engine, weights).model);
 }
 
-bool takes_orders(const BackendRecord& engine) {
+bool accepts_orders(const BackendRecord& engine) {
   return engine.state == BackendState::kReady && !engine.lost && !engine.models.empty();
 }
 
@@ -52,10 +53,10 @@
                                              const NamedWeights& weights, TimePoint now) {
   std::vector<RolloutStep> steps;
   std::map<std::string, const BackendRecord*> by_id;
-  engines_of_.clear();
+  engine_counts_.clear();
   for (const BackendRecord& engine : engines) {
     by_id[engine.id] = &engine;
-    engines_of_[engine.service] += takes_orders(engine) ? 1 : 0;
+    engine_counts_[engine.service] += accepts_orders(engine) ? 1 : 0;
   }
   for (auto entry = loads_.begin(); entry != loads_.end();) {
     const auto known = by_id.find(entry->first);
@@ -63,7 +64,7 @@
       entry = loads_.erase(entry);
       continue;
     }
-    if (entry->second.done || !takes_orders(*known->second)) {
+    if (entry->second.done || !accepts_orders(*known->second)) {
       steps.push_back(RolloutStep{RolloutStep::Kind::kRelease, *known->second, entry->second.model,
                                   entry->second.version, 0});
       entry = loads_.erase(entry);
@@ -74,79 +75,81 @@
     }
     ++entry;
   }
-  for (const BackendRecord* engine : announced(by_id, weights)) {
+  for (const BackendRecord* engine : announced_engines(by_id, weights)) {
     Load& load = loads_.at(engine->id);
     load.version =
-        std::max(load.version, weights.at(load.model).newest());  // a newer one may have been named since
+        // A newer version may have been named since the announcement.
+        std::max(load.version, weights.at(load.model).newest());
     advance(*engine, load, now, steps);
   }
   start_loads(engines, weights, now, steps);
   return steps;
 }
 
-std::vector<const BackendRecord*> WeightRollout::lagging(const std::vector<BackendRecord>& engines,
-                                                         const NamedWeights& weights, TimePoint now) const {
+std::vector<const BackendRecord*> WeightRollout::outdated_engines(const std::vector<BackendRecord>& engines,
+                                                                  const NamedWeights& weights,
+                                                                  TimePoint now) const {
   std::vector<const BackendRecord*> list;
   for (const BackendRecord& engine : engines) {
     const auto refused = refused_until_.find(engine.id);
-    const bool resting = refused != refused_until_.end() && now < refused->second;
+    const bool backing_off = refused != refused_until_.end() && now < refused->second;
     const auto since = outdated_since(engine, weights);
     const bool due = since && now - *since >= options_.start_delay;
-    if (takes_orders(engine) && !resting && due && loads_.count(engine.id) == 0) {
+    if (accepts_orders(engine) && !backing_off && due && loads_.count(engine.id) == 0) {
       list.push_back(&engine);
     }
   }
-  // Each version has its own time limit: the oldest weights go first.
+  // Each version has a deadline of its own: the oldest weights go first.
   std::stable_sort(list.begin(), list.end(), [&](const BackendRecord* left, const BackendRecord* right) {
-    return oldest_version(*left, weights) < oldest_version(*right, weights);
+    return outdated_model_version(*left, weights) < outdated_model_version(*right, weights);
   });
   return list;
 }
 
-std::vector<const BackendRecord*> WeightRollout::announced(
+std::vector<const BackendRecord*> WeightRollout::announced_engines(
     const std::map<std::string, const BackendRecord*>& engines, const NamedWeights& weights) const {
   std::vector<const BackendRecord*> list;
   for (const auto& [id, load] : loads_) {
-    if (load.phase == Phase::kAnnounced && !load.asking) {
+    if (load.phase == Phase::kAnnounced && !load.awaiting_answer) {
       list.push_back(engines.at(id));
     }
   }
   std::stable_sort(list.begin(), list.end(), [&](const BackendRecord* left, const BackendRecord* right) {
-    return oldest_version(*left, weights) < oldest_version(*right, weights);
+    return outdated_model_version(*left, weights) < outdated_model_version(*right, weights);
   });
   return list;
 }
 
-size_t WeightRollout::bound_of(const std::string& service) const {
-  const auto known = engines_of_.find(service);
-  const double engines = known == engines_of_.end() ? 0 : static_cast<double>(known->second);
+size_t WeightRollout::max_loading_engines(const std::string& service) const {
+  const auto known = engine_counts_.find(service);
+  const double engines = known == engine_counts_.end() ? 0 : static_cast<double>(known->second);
   return static_cast<size_t>(std::ceil(options_.load_share * engines));
 }
 
-size_t WeightRollout::under_way_bound(const std::string& service) const {
-  const size_t loading = bound_of(service);
-  const double emptying = static_cast<double>(loading) * static_cast<double>(options_.announce_lead.count()) /
+size_t WeightRollout::max_engines_in_progress(const std::string& service) const {
+  const size_t loading = max_loading_engines(service);
+  const double draining = static_cast<double>(loading) * static_cast<double>(options_.announce_lead.count()) /
                           static_cast<double>(options_.first_check.count());
-  return loading + static_cast<size_t>(std::ceil(emptying));
+  return loading + static_cast<size_t>(std::ceil(draining));
 }
 
-size_t WeightRollout::ordered_of(const std::string& service) const {
+size_t WeightRollout::count_ordered(const std::string& service) const {
   return static_cast<size_t>(std::count_if(loads_.begin(), loads_.end(), [&](const auto& entry) {
     const Load& load = entry.second;
-    return load.service == service && (load.phase != Phase::kAnnounced || load.asking);
+    return load.service == service && (load.phase != Phase::kAnnounced || load.awaiting_answer);
   }));
 }
 
 void WeightRollout::start_loads(const std::vector<BackendRecord>& engines, const NamedWeights& weights,
                                 TimePoint now, std::vector<RolloutStep>& steps) {
-  std::map<std::string, size_t> under_way_of;  // by service
+  std::map<std::string, size_t> in_progress_by_service;
   for (const BackendRecord& engine : engines) {
-    under_way_of[engine.service] += loads_.count(engine.id);
+    in_progress_by_service[engine.service] += loads_.count(engine.id);
   }
-  for (const BackendRecord* candidate : lagging(engines, weights, now)) {
+  for (const BackendRecord* candidate : outdated_engines(engines, weights, now)) {
     const BackendRecord& engine = *candidate;
-    const ModelVersion target = wanted(engine, weights);
-    if (under_way_of[engine.service] >= under_way_bound(engine.service)) {
+    const ModelVersion target = outdated_model(engine, weights);
+    if (in_progress_by_service[engine.service] >= max_engines_in_progress(engine.service)) {
       continue;
     }
     Load load;
@@ -154,31 +157,32 @@
     load.model = target.model;
     load.version = target.version;
     load.started = now;
-    load.next = now + options_.announce_lead;
+    load.next_step_at = now + options_.announce_lead;
     loads_[engine.id] = load;
-    ++under_way_of[engine.service];
+    ++in_progress_by_service[engine.service];
     steps.push_back(RolloutStep{RolloutStep::Kind::kAnnounce, engine, target.model, target.version, 0});
   }
 }
 
 void WeightRollout::advance(const BackendRecord& engine, Load& load, TimePoint now,
                             std::vector<RolloutStep>& steps) {
-  if (engine.version_of(load.model) >= load.version && load.phase != Phase::kAnnounced && !load.asking) {
+  if (engine.version_of(load.model) >= load.version && load.phase != Phase::kAnnounced &&
+      !load.awaiting_answer) {
     load.done = true;
     steps.push_back(RolloutStep{RolloutStep::Kind::kRelease, engine, load.model, load.version, 0});
     return;
   }
-  if (load.asking || now < load.next) {
+  if (load.awaiting_answer || now < load.next_step_at) {
     return;
   }
-  if (load.phase == Phase::kOrdered && now - load.started > options_.load_limit) {
+  if (load.phase == Phase::kOrdered && now - load.started > options_.load_timeout) {
     load.phase = Phase::kAnnounced;
     load.started = now;
   }
-  if (load.phase == Phase::kAnnounced && ordered_of(load.service) >= bound_of(load.service)) {
-    return;  // it goes on emptying
+  if (load.phase == Phase::kAnnounced && count_ordered(load.service) >= max_loading_engines(load.service)) {
+    return;  // it continues to drain
   }
-  load.asking = true;
+  load.awaiting_answer = true;
   if (load.phase == Phase::kAnnounced) {
     steps.push_back(RolloutStep{RolloutStep::Kind::kOrder, engine, load.model, load.version,
                                 order_sequences_[engine.id]});
@@ -194,24 +198,24 @@
     return;
   }
   Load& load = found->second;
-  load.asking = false;
+  load.awaiting_answer = false;
   switch (answer) {
     case OrderAnswer::kTaken:
       load.phase = Phase::kOrdered;
-      load.next = now + options_.first_check;
+      load.next_step_at = now + options_.first_check;
       ++order_sequences_[engine];
       break;
     case OrderAnswer::kHoldsAlready:
     case OrderAnswer::kConflict:
     case OrderAnswer::kNone:
-      // What the engine has now is asked next: the order may have been taken, or another be under way.
-      load.phase = Phase::kWaiting;
-      load.next = now + (answer == OrderAnswer::kHoldsAlready ? Duration(0) : options_.retry_delay);
+      // Query the engine's state next: the order may have been accepted, or another one may be in progress.
+      load.phase = Phase::kOutcomeUnknown;
+      load.next_step_at = now + (answer == OrderAnswer::kHoldsAlready ? Duration(0) : options_.retry_delay);
       break;
     case OrderAnswer::kFenced:
     case OrderAnswer::kRefused:
       load.done = true;
-      refused_until_[engine] = now + options_.refusal_rest;
+      refused_until_[engine] = now + options_.refusal_backoff;
       break;
   }
 }
@@ -222,15 +226,15 @@
     return;
   }
   Load& load = found->second;
-  load.asking = false;
+  load.awaiting_answer = false;
   order_sequences_[engine] = report.order_sequence;
-  load.next = now + options_.check_interval;
-  const auto has = std::find_if(report.models.begin(), report.models.end(),
-                                [&](const ModelVersion& entry) { return entry.model == load.model; });
-  if (has != report.models.end() && has->version >= load.version && !report.busy) {
+  load.next_step_at = now + options_.check_interval;
+  const auto reported = std::find_if(report.models.begin(), report.models.end(),
+                                     [&](const ModelVersion& entry) { return entry.model == load.model; });
+  if (reported != report.models.end() && reported->version >= load.version && !report.busy) {
     load.done = true;
   } else if (!report.busy) {
-    load.phase = Phase::kAnnounced;  // not under way there: order again
+    load.phase = Phase::kAnnounced;  // no order in progress: send it again
   } else {
     load.phase = Phase::kOrdered;
   }
