--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -1,5 +1,5 @@
-/// Small parts of the fleet: configuration checks, replicated state, registry, routes, placement, budgets,
-/// event splitting.
+/// Components without I/O: configuration checks, replicated state, registry, routes, placement, retry
+/// budgets, event splitting, request fields.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -34,20 +34,20 @@
   return configuration;
 }
 
-std::string findings_of(const fleet::FleetConfiguration& configuration) {
+std::string findings_text(const fleet::FleetConfiguration& configuration) {
   Findings findings;
   fleet::check_configuration(configuration, findings);
   return findings.to_text();
 }
 
-TEST(FleetConfiguration, EachContradictionIsAFindingWithItsPlace) {
-  EXPECT_EQ(findings_of(sample()), "");
+TEST(FleetConfiguration, EachContradictionIsReportedAsAFindingWithItsLocation) {
+  EXPECT_EQ(findings_text(sample()), "");
   auto broken = sample();
   broken.routes[0].shares = {{"nobody", 0}};
   broken.routes[0].timeout_ms = 0;
   broken.routes.push_back(broken.routes[0]);
   broken.tenants.push_back({"u", {"k"}, 0, false});
-  const std::string text = findings_of(broken);
+  const std::string text = findings_text(broken);
   EXPECT_NE(text.find("unknown service 'nobody'"), std::string::npos);
   EXPECT_NE(text.find("weights add up to 0"), std::string::npos);
   EXPECT_NE(text.find("time-out"), std::string::npos);
@@ -55,7 +55,7 @@
   EXPECT_NE(text.find("shares a key with tenant 't'"), std::string::npos);
 }
 
-TEST(FleetState, OnlyAHigherVersionHolds) {
+TEST(FleetState, OnlyAHigherVersionIsApplied) {
   fleet::FleetState state;
   auto configuration = sample();
   state.apply(fleet::PutConfiguration{configuration, "three"});
@@ -67,7 +67,7 @@
   EXPECT_EQ(state.revision(), 1U);
 }
 
-TEST(FleetState, WeightsOnlyGoUpAndARetiredBackEndStaysRetired) {
+TEST(FleetState, WeightsVersionNeverDecreasesAndRetirementIsPermanent) {
   fleet::FleetState state;
   state.apply(fleet::NameWeights{"m", 4});
   state.apply(fleet::NameWeights{"m", 2});
@@ -87,14 +87,14 @@
   return record;
 }
 
-TEST(BackendRegistry, ALateHeartbeatChangesNothing) {
+TEST(BackendRegistry, OutOfOrderHeartbeatIsIgnored) {
   fleet::BackendRegistry registry({});
   EXPECT_TRUE(registry.on_heartbeat(heartbeat("e", 5), 1s));
   EXPECT_FALSE(registry.on_heartbeat(heartbeat("e", 4), 2s));
   EXPECT_FALSE(registry.on_heartbeat(heartbeat("e", 5), 2s));
 }
 
-TEST(BackendRegistry, TheFormerHolderOfAnAddressNeverComesBack) {
+TEST(BackendRegistry, FormerBackEndAtAReusedAddressIsRejected) {
   fleet::BackendRegistry registry({});
   registry.on_heartbeat(heartbeat("old", 5), 1s);
   registry.on_heartbeat(heartbeat("new", 1), 2s);
@@ -103,7 +103,7 @@
   ASSERT_NE(registry.find("new"), nullptr);
 }
 
-TEST(BackendRegistry, ARetiredBackEndNeverBecomesReadyAgain) {
+TEST(BackendRegistry, RetiredBackEndNeverBecomesReadyAgain) {
   fleet::BackendRegistry registry({});
   registry.on_heartbeat(heartbeat("e", 1), 1s);
   registry.retire("e", fleet::BackendState::kDraining);
@@ -111,7 +111,7 @@
   EXPECT_EQ(registry.find("e")->state, fleet::BackendState::kDraining);
 }
 
-TEST(BackendRegistry, SilenceMakesItLostAndAHeartbeatBringsItBack) {
+TEST(BackendRegistry, MissingHeartbeatsMarkABackEndLostUntilTheNextOne) {
   fleet::BackendRegistry registry({});
   registry.on_heartbeat(heartbeat("e", 1), 1s);
   const uint64_t revision = registry.table().revision();
@@ -124,7 +124,7 @@
   EXPECT_EQ(registry.find("e"), nullptr);
 }
 
-TEST(BackendRegistry, AHeartbeatThatTellsNothingNewIsNoChange) {
+TEST(BackendRegistry, HeartbeatWithoutNewDataLeavesTheRevisionUnchanged) {
   fleet::BackendRegistry registry({});
   registry.on_heartbeat(heartbeat("e", 1), 1s);
   const uint64_t revision = registry.table().revision();
@@ -132,7 +132,7 @@
   EXPECT_EQ(registry.table().revision(), revision);
 }
 
-TEST(BackendRegistry, WeightsOfOneStartOnlyGoUp) {
+TEST(BackendRegistry, WeightsVersionOfOneIncarnationNeverDecreases) {
   fleet::BackendRegistry registry({});
   registry.on_heartbeat(heartbeat("e", 1), 1s);
   registry.set_version("e", "m", 3);
@@ -140,7 +140,7 @@
   EXPECT_EQ(registry.find("e")->version_of("m"), 3U);
 }
 
-TEST(RouteTable, TheLongestPrefixOfTheHostWins) {
+TEST(RouteTable, LongestPathPrefixOfTheHostWins) {
   auto configuration = sample();
   configuration.routes.push_back(configuration.routes[0]);
   configuration.routes[1].name = "long";
@@ -154,7 +154,7 @@
   EXPECT_EQ(table.tenant_of_key("x"), nullptr);
 }
 
-TEST(SplitChooser, GivesEachPartItsShare) {
+TEST(SplitChooser, DistributesRequestsByWeight) {
   routing::SplitChooser chooser;
   const auto configuration = sample();
   std::map<std::string, int> counts;
@@ -165,7 +165,7 @@
   EXPECT_EQ(counts["b"], 100);
 }
 
-TEST(SplitChooser, APartOfNoWeightGetsNothing) {
+TEST(SplitChooser, ServiceWithZeroWeightGetsNoRequests) {
   routing::SplitChooser chooser;
   auto configuration = sample();
   configuration.routes[0].shares = {{"a", 0}, {"b", 2}};
@@ -197,7 +197,7 @@
       engines_[i].distance = topology::Distance::kSameZone;
     }
   }
-  /// So many prompt tokens wait to be read at an engine.
+  /// Sets the wait at an engine to the time for prefilling this many prompt tokens.
   void queue_tokens(size_t engine, double tokens) { engines_[engine].wait_ms = tokens * kMsPerToken; }
   void allow_only(size_t target) {
     for (size_t i = 0; i < engines_.size(); ++i) {
@@ -214,7 +214,7 @@
   std::vector<placement::EngineView> engines_;
 };
 
-TEST_F(PartPlacementTest, AChainStaysAtItsHomeUntilThatIsLoaded) {
+TEST_F(PartPlacementTest, ChainStaysAtItsHomeEngineUntilThatIsLoaded) {
   const size_t home = place().target;
   engines_[home].outstanding = 2;
   EXPECT_EQ(place().target, home);
@@ -222,7 +222,7 @@
   EXPECT_NE(place().target, home);
 }
 
-TEST_F(PartPlacementTest, TheSourceIsAKnownHolder) {
+TEST_F(PartPlacementTest, SourceIsAKnownHolder) {
   allow_only(0);
   EXPECT_EQ(place().source, std::nullopt);
   memories_[2].note_held({1}, kWeights, 1s);
@@ -232,13 +232,13 @@
   EXPECT_EQ(place().source, std::nullopt);
 }
 
-TEST_F(PartPlacementTest, AHolderIsForgottenAfterItsTime) {
+TEST_F(PartPlacementTest, HolderExpiresAfterTheHoldTime) {
   allow_only(0);
   memories_[2].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place(1s + placement::kHoldTime + 1ms).source, std::nullopt);
 }
 
-TEST_F(PartPlacementTest, TheSourceIsTheHolderOfTheLongestBeginning) {
+TEST_F(PartPlacementTest, SourceIsTheHolderOfTheLongestPrefix) {
   prompt_ = chain({{1, 2000}, {2, 3000}, {3, 500}});
   allow_only(0);
   memories_[1].note_held({1}, kWeights, 1s);
@@ -249,7 +249,7 @@
   EXPECT_EQ(place().missing_tokens, 500U);
 }
 
-TEST_F(PartPlacementTest, AmongHoldersTheOneInTheTargetsZoneIsTheSource) {
+TEST_F(PartPlacementTest, HolderInTheTargetsZoneIsThePreferredSource) {
   allow_only(0);
   engines_[1].place.zone = 7;
   memories_[1].note_held({1}, kWeights, 1s);
@@ -257,7 +257,7 @@
   EXPECT_EQ(place().source, std::optional<size_t>(2));
 }
 
-TEST_F(PartPlacementTest, WhatIsStillBeingReadIsNoSourceButDrawsTheRequestThere) {
+TEST_F(PartPlacementTest, PendingPrefillAttractsRequestsButIsNotUsedAsSource) {
   const size_t other = (place().target + 1) % 3;
   memories_[other].note_pending(prompt_, kWeights, 1s);
   queue_tokens(other, 4500);
@@ -267,24 +267,24 @@
   EXPECT_NE(place().target, other);
 }
 
-TEST_F(PartPlacementTest, AHolderUnderOtherWeightsIsNoSource) {
+TEST_F(PartPlacementTest, HolderWithOtherWeightsIsNotUsedAsSource) {
   allow_only(0);
   memories_[2].note_held({1}, kWeights - 1, 1s);
   EXPECT_EQ(place().source, std::nullopt);
   memories_[2].note_held({1}, kWeights + 1, 1s);
   EXPECT_EQ(place().source, std::nullopt);
-  memories_[2].note_held({1}, kWeights, 1s);  // late news of weights that are gone
+  memories_[2].note_held({1}, kWeights, 1s);  // an outdated report: the engine already has newer weights
   EXPECT_EQ(place().source, std::nullopt);
 }
 
-TEST_F(PartPlacementTest, AnUnsoundHolderIsNoSource) {
+TEST_F(PartPlacementTest, UnhealthyHolderIsNotUsedAsSource) {
   allow_only(0);
   memories_[2].note_held({1}, kWeights, 1s);
   engines_[2].sound = false;
   EXPECT_EQ(place().source, std::nullopt);
 }
 
-TEST_F(PartPlacementTest, AnEngineThatMayNotBeUsedIsNeverTheTarget) {
+TEST_F(PartPlacementTest, NonCandidateEngineIsNeverTheTarget) {
   memories_[2].note_held({1}, kWeights, 1s);
   for (size_t target = 0; target < 3; ++target) {
     allow_only(target);
@@ -292,8 +292,9 @@
   }
 }
 
-TEST(SharingRouters, AreTakenHighAfterAStartAndAfterALoss) {
-  // Found on the bench: after a restart of 69 routers each took the whole fixed part of the bound on repeats.
+TEST(SharingRouters, CountIsOverestimatedAfterAStartAndAfterALoss) {
+  // Guards against retry storms: after a restart of 69 routers, each took the whole fixed part of the retry
+  // budget.
   delivery::SharingRouters routers(10s);
   EXPECT_GE(routers.count(), 1000U);
   routers.note(3, 1s);
@@ -310,24 +311,25 @@
   EXPECT_EQ(routers.count(), 30U);
 }
 
-TEST_F(PartPlacementTest, ACopyAwayFromItsHomeCosts) {
+TEST_F(PartPlacementTest, CopyAwayFromTheHomeEngineHasACost) {
   for (placement::EngineView& engine : engines_) {
     engine.slots = 1000;
   }
   const size_t home = place().target;
   const size_t other = (home + 1) % 3;
   memories_[other].note_held({1}, kWeights, 1s);
-  EXPECT_EQ(place().target, other);  // it is there already
+  EXPECT_EQ(place().target, other);  // its KV cache is already there
   memories_[home].note_held({1}, kWeights, 1s);
   engines_[home].outstanding = 100;
   engines_[other].outstanding = 100;
-  EXPECT_TRUE(place().target == home || place().target == other);  // a third copy would push out another part
+  // A third copy would evict another part.
+  EXPECT_TRUE(place().target == home || place().target == other);
   engines_[home].outstanding = 250;
   engines_[other].outstanding = 250;
   EXPECT_FALSE(place().target == home || place().target == other);
 }
 
-TEST_F(PartPlacementTest, TheStoreIsTheSourceWhenItHoldsMore) {
+TEST_F(PartPlacementTest, StoreIsTheSourceWhenItHoldsMore) {
   prompt_ = chain({{1, 2000}, {2, 3000}, {3, 500}});
   allow_only(0);
   placement::ChainMemory store;
@@ -351,13 +353,13 @@
   }
 }
 
-TEST_F(PartPlacementTest, AnEngineWithMuchToReadIsPassedOver) {
+TEST_F(PartPlacementTest, EngineWithALongPrefillQueueIsNotTheTarget) {
   const size_t home = place().target;
   queue_tokens(home, 30000);
   EXPECT_NE(place().target, home);
 }
 
-TEST(WindowBudget, BoundsRepeatsOverAnyWindow) {
+TEST(WindowBudget, BoundsRetriesOverAnyWindow) {
   delivery::WindowBudgetOptions options;
   options.slack = 20;
   delivery::WindowBudget budget(options);
@@ -372,9 +374,10 @@
   EXPECT_TRUE(budget.take(60s, 4));
 }
 
-TEST(VersionHistory, EachVersionHasItsOwnLimitHoweverSoonAnotherFollows) {
-  // Found on the bench: a third version restarted the clock of the second, and an engine that came back with
-  // the first was used 8.5 s after the second had been named.
+TEST(VersionHistory, EachVersionAgesIndependentlyOfLaterOnes) {
+  // Guards against a later version resetting the age of an earlier one: an engine that came back with version
+  // 1 was used 8.5 s after version 2 had been announced, because version 3 had restarted the clock of
+  // version 2.
   fleet::VersionHistory wanted;
   wanted.note(2, 4s);
   wanted.note(3, 12s);
@@ -384,7 +387,7 @@
   EXPECT_EQ(wanted.outdated_for(3, 13s), std::nullopt);
 }
 
-RC_GTEST_PROP(EventSplitter, GivesTheSameEventsHoweverTheBytesAreCut, (std::vector<uint8_t> cuts)) {
+RC_GTEST_PROP(EventSplitter, YieldsTheSameEventsForAnyChunking, (std::vector<uint8_t> cuts)) {
   std::string stream;
   for (int id = 1; id <= 20; ++id) {
     const std::string end = id % 3 == 0 ? "\r\n" : "\n";
@@ -410,7 +413,7 @@
   RC_ASSERT(splitter.pending() == 0U);
 }
 
-TEST(RequestFields, ReadsPartsAndIgnoresMalformedOnes) {
+TEST(RequestFields, ReadsFieldsAndIgnoresMalformedOnes) {
   http1::Headers headers;
   headers.add("x-prompt-parts", "5c:800,91:410");
   headers.add("X-Token-Counts", "1460,80");
--- a/tests/unit/refused_connection_test.cc
+++ b/tests/unit/refused_connection_test.cc
@@ -1,23 +1,23 @@
-/// Connections that a back end's machine refuses: the sign that its process is gone.
+/// Detection of refused connections, which show that a back end's process is gone.
 #include <cerrno>
 
-#include "src/dispatch/engine_connection.h"
+#include "src/dispatch/backend_connection.h"
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
 namespace {
 
-TEST(RefusedConnection, IsKnownForOneWhateverElseFailedMeanwhile) {
+TEST(RefusedConnection, IsDetectedDespiteAnUnrelatedErrno) {
   EventLoop loop;
   bool refused = false;
-  std::shared_ptr<dispatch::EngineConnection> connection;
+  std::shared_ptr<dispatch::BackendConnection> connection;
   loop.after(0ms, [&] {
-    connection = dispatch::EngineConnection::connect(loop, {"127.0.0.1", test::free_port()},
-                                                     [&](dispatch::EngineConnection* lost) {
-                                                       refused = lost->refused();
-                                                       loop.stop();
-                                                     });
-    errno = EAGAIN;  // as after a read of another connection
+    connection = dispatch::BackendConnection::connect(loop, {"127.0.0.1", test::free_port()},
+                                                      [&](dispatch::BackendConnection* lost) {
+                                                        refused = lost->refused();
+                                                        loop.stop();
+                                                      });
+    errno = EAGAIN;  // as left by a read on another connection
   });
   loop.after(2s, [&] { loop.stop(); });
   loop.run();
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -1,4 +1,4 @@
-/// Back ends that name in their answers for how long they want nothing, or that they leave.
+/// Back ends that ask for a backoff with Retry-After, or announce their shutdown in a response.
 #include <deque>
 
 #include "tests/support/small_fleet.h"
@@ -15,25 +15,27 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// What a router sends a back end between so long after its word and the end of the rest is counted.
-constexpr milliseconds kOnTheWay{500};
-constexpr size_t kMostMeanwhile = 2;
+/// Requests that reach a back end later than this after its first refusal, and before the end of its backoff,
+/// are counted.
+constexpr milliseconds kInFlightTime{500};
+constexpr size_t kMaxDuringBackoff = 2;
 
-/// Turns each request away that comes while it rests, and notes when requests come.
-class RestingEngine {
+/// Refuses each request that arrives during its backoff, and records the arrival times.
+class BackoffEngine {
  public:
-  /// `rest`: as the header names it. It rests from the first request on.
-  explicit RestingEngine(std::string rest, milliseconds rests_for)
-      : rest_(std::move(rest)),
-        rests_for_(rests_for),
+  /// `retry_after`: value of the Retry-After header. The backoff begins with the first request.
+  explicit BackoffEngine(std::string retry_after, milliseconds backoff_time)
+      : retry_after_(std::move(retry_after)),
+        backoff_time_(backoff_time),
         engine_([this](const SeenRequest& seen) { return answer(seen); }) {}
   const ScriptedEngine& engine() const { return engine_; }
   size_t count() const { return engine_.requests().size(); }
-  /// Requests that came later than kOnTheWay after its first word, and before the end of its rest.
-  size_t meanwhile() const {
+  /// Number of requests that arrived later than kInFlightTime after the first one, and before the end of the
+  /// backoff.
+  size_t count_during_backoff() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     return static_cast<size_t>(std::count_if(arrivals_.begin(), arrivals_.end(), [this](auto at) {
-      return at > arrivals_.front() + kOnTheWay && at < arrivals_.front() + rests_for_;
+      return at > arrivals_.front() + kInFlightTime && at < arrivals_.front() + backoff_time_;
     }));
   }
 
@@ -41,31 +43,32 @@
   Script answer(const SeenRequest& seen) {
     const std::lock_guard<std::mutex> lock(mutex_);
     arrivals_.push_back(Clock::now());
-    if (arrivals_.back() >= arrivals_.front() + rests_for_) {
+    if (arrivals_.back() >= arrivals_.front() + backoff_time_) {
       return test::succeed(seen);
     }
     const std::string headers = "X-Request-Id: " + seen.header("X-Request-Id") + "\r\nX-Not-Run: 1\r\n";
-    return {send_step(whole_answer(503, headers + "Retry-After: " + rest_ + "\r\n", "busy"))};
+    return {send_step(whole_answer(503, headers + "Retry-After: " + retry_after_ + "\r\n", "busy"))};
   }
 
-  std::string rest_;
-  milliseconds rests_for_;
+  std::string retry_after_;
+  milliseconds backoff_time_;
   mutable std::mutex mutex_;
   std::vector<Clock::time_point> arrivals_;
   ScriptedEngine engine_;
 };
 
-class RestingBackendTest : public test::SmallFleet {
+class BackendBackoffTest : public test::SmallFleet {
  protected:
   void SetUp() override { ASSERT_TRUE(configure(make_configuration(1))); }
-  std::deque<RestingEngine>& add_resting(size_t count, const std::string& rest, milliseconds rests_for) {
+  std::deque<BackoffEngine>& add_backoff_engines(size_t count, const std::string& rest,
+                                                 milliseconds backoff_time) {
     for (size_t number = 0; number < count; ++number) {
-      resting_.emplace_back(rest, rests_for);
-      add_engine("resting" + std::to_string(number), "calls", resting_.back().engine());
+      backoff_engines_.emplace_back(rest, backoff_time);
+      add_engine("resting" + std::to_string(number), "calls", backoff_engines_.back().engine());
     }
-    return resting_;
+    return backoff_engines_;
   }
-  /// Sends a request each 20 ms for so long, and gives how many got 200.
+  /// Sends a request every 20 ms for `span`, adds their number to `asked`, and returns how many got 200.
   size_t ask_for(milliseconds span, size_t& asked) {
     size_t served = 0;
     const auto end = Clock::now() + span;
@@ -80,34 +83,34 @@
     }
     return served;
   }
-  std::deque<RestingEngine> resting_;
-  std::string last_;  ///< answer of 503
+  std::deque<BackoffEngine> backoff_engines_;
+  std::string last_;  ///< last response with status 503
 };
 
-TEST_F(RestingBackendTest, BackEndsThatAskedForRestGetNothingWhileOthersServe) {
+TEST_F(BackendBackoffTest, BackEndsInBackoffGetNoRequestsWhileOthersServe) {
   constexpr milliseconds kRest{2500};
   ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
-  add_resting(4, "2.5", kRest);
+  add_backoff_engines(4, "2.5", kRest);
   add_engine("other", "calls", other);
   size_t asked = 0;
-  ask_for(kOnTheWay, asked);
+  ask_for(kInFlightTime, asked);
   const size_t before = asked;
-  const size_t served = ask_for(kRest - kOnTheWay, asked);
-  for (const RestingEngine& engine : resting_) {
-    EXPECT_LE(engine.meanwhile(), kMostMeanwhile);
+  const size_t served = ask_for(kRest - kInFlightTime, asked);
+  for (const BackoffEngine& engine : backoff_engines_) {
+    EXPECT_LE(engine.count_during_backoff(), kMaxDuringBackoff);
   }
   EXPECT_EQ(served, asked - before);
   ask_for(kRest, asked);
-  for (const RestingEngine& engine : resting_) {
-    EXPECT_GT(engine.count(), 5U);  // it is used again after its rest
+  for (const BackoffEngine& engine : backoff_engines_) {
+    EXPECT_GT(engine.count(), 5U);  // it is used again after its backoff
   }
 }
 
-TEST_F(RestingBackendTest, WhereAllBackEndsRestCallersAreToldAtOnceWhenTheFirstWakes) {
+TEST_F(BackendBackoffTest, RequestsAreRefusedAtOnceWithRetryAfterWhenAllBackEndsAreInBackoff) {
   constexpr milliseconds kRest{3000};
-  add_resting(3, "3", kRest);
+  add_backoff_engines(3, "3", kRest);
   size_t asked = 0;
-  ask_for(kOnTheWay, asked);
+  ask_for(kInFlightTime, asked);
   last_.clear();
   const auto begin = Clock::now();
   EXPECT_EQ(ask_for(milliseconds(1), asked), 0U);
@@ -116,15 +119,15 @@
   const double told = std::stod(last_.substr(last_.find("Retry-After: ") + 13));
   EXPECT_GT(told, 1.5);
   EXPECT_LT(told, 4.5);
-  for (const RestingEngine& engine : resting_) {
-    EXPECT_EQ(engine.meanwhile(), 0U);
+  for (const BackoffEngine& engine : backoff_engines_) {
+    EXPECT_EQ(engine.count_during_backoff(), 0U);
   }
 }
 
-TEST_F(RestingBackendTest, ARestThatCannotBeReadLosesNoBackEnd) {
+TEST_F(BackendBackoffTest, UnreadableRetryAfterDoesNotDisableABackEnd) {
   for (const char* rest : {"-5", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
-    resting_.emplace_back(rest, milliseconds(300));
-    add_engine("odd" + std::to_string(resting_.size()), "calls", resting_.back().engine());
+    backoff_engines_.emplace_back(rest, milliseconds(300));
+    add_engine("odd" + std::to_string(backoff_engines_.size()), "calls", backoff_engines_.back().engine());
   }
   size_t asked = 0;
   ask_for(milliseconds(800), asked);
@@ -133,7 +136,7 @@
   EXPECT_EQ(served, asked - before);
 }
 
-TEST_F(RestingBackendTest, ABackEndThatSaysInAnAnswerThatItLeavesGetsNoFurtherRequests) {
+TEST_F(BackendBackoffTest, BackEndThatAnnouncesItsShutdownInAResponseGetsNoFurtherRequests) {
   ScriptedEngine leaving([](const SeenRequest& seen) -> Script {
     return {send_step(whole_answer(200, test::own_headers(seen) + "X-Leaving: 1\r\n", "body"))};
   });
@@ -141,20 +144,20 @@
   add_engine("leaving", "calls", leaving);
   add_engine("other", "calls", other);
   size_t asked = 0;
-  const size_t served = ask_for(milliseconds(1500), asked);  // with heartbeats that say nothing of it
+  const size_t served = ask_for(milliseconds(1500), asked);  // its heartbeats do not announce the shutdown
   EXPECT_EQ(served, asked);
   EXPECT_LE(leaving.requests().size(), 1U);
 }
 
-TEST(BackendRest, OneRequestGoesAheadOfTheOthersAfterARest) {
-  dispatch::BackendRest rest;
+TEST(BackendBackoff, OneRequestIsSentBeforeTheOthersAfterABackoff) {
+  dispatch::BackendBackoff rest;
   EXPECT_TRUE(rest.may_send(5, 1s));
   rest.begin(3s);
   EXPECT_FALSE(rest.may_send(0, 2s));
-  rest.on_taken(2s);  // an answer to a request that was sent before
+  rest.on_accepted(2s);  // for a request that was sent before the backoff
   EXPECT_TRUE(rest.may_send(0, 3s));
   EXPECT_FALSE(rest.may_send(1, 3s));
-  rest.on_taken(4s);
+  rest.on_accepted(4s);
   EXPECT_TRUE(rest.may_send(9, 4s));
 }
 
--- a/tests/unit/service_ring_test.cc
+++ b/tests/unit/service_ring_test.cc
@@ -1,4 +1,4 @@
-/// What a router does for one request in a service of ten thousand back ends.
+/// Subsets and load accounting in a service of ten thousand back ends.
 #include "src/dispatch/service_ring.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 using dispatch::BackendPtr;
 
 constexpr size_t kBackends = 10000;
-constexpr size_t kCell = 256;
+constexpr size_t kSubsetSize = 256;
 
 fleet::BackendRecord backend(size_t number) {
   fleet::BackendRecord record;
@@ -45,51 +45,52 @@
   BackendPool pool_{loop_};
 };
 
-TEST_F(LargeServiceTest, ACellHasAFixedSizeAndTheServiceIsCoveredByAllOfThem) {
+TEST_F(LargeServiceTest, SubsetsHaveAFixedSizeAndTogetherCoverTheService) {
   std::set<std::string> covered;
   for (uint64_t step = 0; step < kBackends; ++step) {
-    const auto cell = pool_.cell("models", step * (UINT64_MAX / kBackends), kCell);
-    ASSERT_EQ(cell.size(), kCell);
-    covered.merge(ids_of(cell));
+    const auto subset = pool_.subset("models", step * (UINT64_MAX / kBackends), kSubsetSize);
+    ASSERT_EQ(subset.size(), kSubsetSize);
+    covered.merge(ids_of(subset));
   }
   EXPECT_EQ(covered.size(), kBackends);
 }
 
-TEST_F(LargeServiceTest, RoutersThatHeardOfBackEndsInAnotherOrderChooseTheSameCell) {
+TEST_F(LargeServiceTest, SubsetDoesNotDependOnTheOrderOfInsertion) {
   BackendPool other(loop_);
   for (size_t number = kBackends; number > 0; --number) {
     other.put(backend(number - 1));
   }
-  EXPECT_EQ(ids_of(pool_.cell("models", 77, kCell)), ids_of(other.cell("models", 77, kCell)));
+  EXPECT_EQ(ids_of(pool_.subset("models", 77, kSubsetSize)), ids_of(other.subset("models", 77, kSubsetSize)));
 }
 
-TEST_F(LargeServiceTest, ABackEndThatComesOrGoesChangesACellByOne) {
-  const auto before = pool_.cell("models", 77, kCell);
+TEST_F(LargeServiceTest, RemovingABackEndChangesTheSubsetByOne) {
+  const auto before = pool_.subset("models", 77, kSubsetSize);
   pool_.remove(before.front()->record.id);
-  const std::set<std::string> after = ids_of(pool_.cell("models", 77, kCell));
+  const std::set<std::string> after = ids_of(pool_.subset("models", 77, kSubsetSize));
   const auto kept = std::count_if(before.begin(), before.end(),
                                   [&](const BackendPtr& entry) { return after.count(entry->record.id) > 0; });
-  EXPECT_EQ(kept, static_cast<int64_t>(kCell) - 1);
+  EXPECT_EQ(kept, static_cast<int64_t>(kSubsetSize) - 1);
   EXPECT_EQ(pool_.count("models"), kBackends - 1);
 }
 
-TEST_F(LargeServiceTest, ASmallServiceIsOneCell) {
+TEST_F(LargeServiceTest, SmallServiceIsOneSubset) {
   BackendPool small(loop_);
   for (size_t number = 0; number < 12; ++number) {
     small.put(backend(number));
   }
-  EXPECT_EQ(small.cell("models", 1, kCell).size(), 12U);
-  EXPECT_EQ(ids_of(small.cell("models", 1, kCell)), ids_of(small.cell("models", UINT64_MAX, kCell)));
+  EXPECT_EQ(small.subset("models", 1, kSubsetSize).size(), 12U);
+  EXPECT_EQ(ids_of(small.subset("models", 1, kSubsetSize)),
+            ids_of(small.subset("models", UINT64_MAX, kSubsetSize)));
 }
 
-TEST_F(LargeServiceTest, LeavesOutWhatIsBeyondTheWantedState) {
-  const auto cell = pool_.cell("models", 5, kCell);
-  pool_.retire({{cell.front()->record.id, fleet::BackendState::kDraining}});
-  EXPECT_EQ(pool_.cell("models", 5, kCell).size(), kCell - 1);
-  EXPECT_EQ(pool_.cell("models", 5, kCell, fleet::BackendState::kDraining).size(), kCell);
+TEST_F(LargeServiceTest, ExcludesBackEndsBeyondTheRequestedState) {
+  const auto subset = pool_.subset("models", 5, kSubsetSize);
+  pool_.retire({{subset.front()->record.id, fleet::BackendState::kDraining}});
+  EXPECT_EQ(pool_.subset("models", 5, kSubsetSize).size(), kSubsetSize - 1);
+  EXPECT_EQ(pool_.subset("models", 5, kSubsetSize, fleet::BackendState::kDraining).size(), kSubsetSize);
 }
 
-TEST_F(LargeServiceTest, TellsTheLoadsOfBackEndsWithRequestsOnly) {
+TEST_F(LargeServiceTest, ReportsOnlyLoadsOfBackEndsWithRequests) {
   const BackendPtr busy = pool_.find("e4711");
   pool_.begin_request(busy);
   pool_.begin_request(busy);
@@ -100,7 +101,7 @@
   EXPECT_TRUE(pool_.own_loads().empty());
 }
 
-TEST_F(LargeServiceTest, ARequestOfAFormerIncarnationEndsWithoutEffectOnTheNext) {
+TEST_F(LargeServiceTest, RequestEndingAtAFormerIncarnationDoesNotAffectTheNext) {
   const BackendPtr former = pool_.find("e7");
   pool_.begin_request(former);
   pool_.remove("e7");
