--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -211,7 +211,7 @@
 
 void BackendPool::probe(const BackendPtr& backend) {
   const TimePoint now = loop_.now();
-  if (backend->probe == nullptr && now - backend->probed >= kProbeInterval) {
+  if (backend->probe == nullptr && now - backend->last_probe_at >= kProbeInterval) {
     start_probe(backend);
   }
 }
@@ -241,7 +241,7 @@
 }
 
 void BackendPool::start_probe(const BackendPtr& backend) {
-  backend->probed = loop_.now();
+  backend->last_probe_at = loop_.now();
   const std::weak_ptr<Backend> weak = backend;
   backend->probe = BackendConnection::connect(
       loop_, backend->endpoint, [this, weak](BackendConnection* lost) { on_unusable(weak, lost); });
@@ -267,7 +267,7 @@
 void BackendPool::end_probe(const BackendPtr& backend) {
   const auto connection = std::exchange(backend->probe, nullptr);
   if (connection->connected() && connection->usable()) {
-    backend->heard = loop_.now();
+    backend->last_received_at = loop_.now();
     release(backend, connection);
     on_probe_ended_(backend, ProbeResult::kReached);
     return;
@@ -276,7 +276,7 @@
     discard(backend, connection);
     return;
   }
-  backend->unreachable = backend->probed;
+  backend->last_failed_probe_at = backend->last_probe_at;
   const bool refused = connection->refused();
   discard(backend, connection);
   on_probe_ended_(backend, refused ? ProbeResult::kRefused : ProbeResult::kUnanswered);
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -51,10 +51,10 @@
   placement::ChainMemory memory;
   placement::EngineSpeed speed;
   BackendBackoff backoff;
-  TimePoint heard{0};                        ///< when this router last received data from it
+  TimePoint last_received_at{0};             ///< when this router last received data from it
   std::shared_ptr<BackendConnection> probe;  ///< a connection being made to test whether it responds
-  TimePoint probed{0};                       ///< when the last probe was started
-  TimePoint unreachable{0};                  ///< when the last failed probe was started
+  TimePoint last_probe_at{0};                ///< when the last probe was started
+  TimePoint last_failed_probe_at{0};         ///< when the last failed probe was started
   std::vector<BrokenExchange> broken = {};   ///< neither confirmed as crashes nor marked as survived
   bool outcome_check_pending = false;        ///< a health check is running or the next probe is scheduled
   bool ended_unexpectedly = false;  ///< the control plane reported it gone, and it had not deregistered
--- a/src/dispatch/request_run.cc
+++ b/src/dispatch/request_run.cc
@@ -24,8 +24,8 @@
 constexpr int kStartupWaitDivisor = 4;
 /// How often a waiting request searches for a back end again.
 constexpr Duration kBackendPollInterval = 25ms;
-/// Bytes of a response body that are buffered until the response is complete. The rest of a longer body is
-/// dropped.
+/// Maximum size of a response body, in bytes, that is buffered until the response is complete. Pieces beyond
+/// it are dropped.
 constexpr size_t kMaxBufferedBody = 4U << 20U;
 
 placement::PromptChain make_chain(const RunPlan& plan) {
@@ -192,7 +192,7 @@
 
 void RequestRun::note_activity() {
   last_activity_ = context_.loop.now();
-  backend_->heard = last_activity_;
+  backend_->last_received_at = last_activity_;
 }
 
 void RequestRun::on_flow_control(bool paused) {
@@ -206,11 +206,11 @@
   if (backend_ == nullptr || paused_) {
     return;
   }
-  const TimePoint heard = std::max(last_activity_, backend_->heard);
-  if (context_.loop.now() - heard < kSilenceBeforeProbe) {
+  const TimePoint last_contact = std::max(last_activity_, backend_->last_received_at);
+  if (context_.loop.now() - last_contact < kSilenceBeforeProbe) {
     return;
   }
-  if (backend_->unreachable > heard) {
+  if (backend_->last_failed_probe_at > last_contact) {
     on_exchange_failure(ExchangeFailure::kSilent);
     return;
   }
--- a/src/dispatch/request_run.h
+++ b/src/dispatch/request_run.h
@@ -257,8 +257,8 @@
   /// Decides whether the request is in the share sent to the version on trial (the canary).
   void sample_for_trial();
   /// True if the software versions of both back ends allow the run at `origin` to resume from its backup at
-  /// `copy`.
-  bool may_resume_at(const Backend& copy, const Backend& origin) const;
+  /// `backup_engine`.
+  bool may_resume_at(const Backend& backup_engine, const Backend& origin) const;
   /// How long the weights of a back end have been out of date; nullopt if they are current.
   std::optional<Duration> outdated_for(const Backend& backend) const;
   uint32_t urgency() const;
@@ -307,7 +307,8 @@
   /// Updates the service's call time with a completed request without a prompt.
   void observe_call_time();
   std::string request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const;
-  /// True for headers that only the router sets; they are dropped from the caller's request.
+  /// True for headers that the router sets itself or withholds from engines: they are not copied from the
+  /// caller's request.
   bool is_router_header(const std::string& name) const;
   /// Why the request may not be retried; nullptr if it may. A retry is then charged to the retry budget,
   /// unless the request never reached a back end. `known_not_executed`: the last back end is known not to
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -61,10 +61,11 @@
   in_trial_sample_ = in_trial_sample_ && has_room();
 }
 
-bool RequestRun::may_resume_at(const Backend& copy, const Backend& origin) const {
+bool RequestRun::may_resume_at(const Backend& backup_engine, const Backend& origin) const {
   const rollout::VersionLimits limits = context_.versions.limits(plan_.service, in_trial_sample_);
-  return limits.rollout == nullptr || (copy.record.software == origin.record.software &&
-                                       limits.rank(copy.record.software) != rollout::VersionLimits::kNever);
+  return limits.rollout == nullptr ||
+         (backup_engine.record.software == origin.record.software &&
+          limits.rank(backup_engine.record.software) != rollout::VersionLimits::kNever);
 }
 
 void RequestRun::record_rollout_send() {
--- a/tests/unit/crashing_request_test.cc
+++ b/tests/unit/crashing_request_test.cc
@@ -88,7 +88,7 @@
                 body);
     return client.read_all();
   }
-  /// Sends the crashing request to the routers in turn, at this interval, and returns the last answer.
+  /// Sends the crashing request to the routers in turn, at this interval, and returns the last response.
   std::string send_crashing_for(std::chrono::seconds span, milliseconds interval) {
     std::string last;
     const auto end = Clock::now() + span;
@@ -164,7 +164,7 @@
 // Guards against refusing a suspect until the next permit when the back end chosen for it does not accept
 // connections.
 TEST_F(CrashingRequestTest, SuspectIsSentToAnotherBackEndWithTheSamePermitWhenTheConnectionFails) {
-  send_to_router(0, "first", kCrashing);  // repeated once: two crashes
+  send_to_router(0, "first", kCrashing);  // retried once: two crashes
   ASSERT_EQ(crashes().size(), admission::kSuspectCrashes);
   std::this_thread::sleep_for(milliseconds(400));
   size_t alive = 0;
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -60,10 +60,10 @@
 class BackendBackoffTest : public test::SmallFleet {
  protected:
   void SetUp() override { ASSERT_TRUE(configure(make_configuration(1))); }
-  std::deque<BackoffEngine>& add_backoff_engines(size_t count, const std::string& rest,
+  std::deque<BackoffEngine>& add_backoff_engines(size_t count, const std::string& retry_after,
                                                  milliseconds backoff_time) {
     for (size_t number = 0; number < count; ++number) {
-      backoff_engines_.emplace_back(rest, backoff_time);
+      backoff_engines_.emplace_back(retry_after, backoff_time);
       add_engine("resting" + std::to_string(number), "calls", backoff_engines_.back().engine());
     }
     return backoff_engines_;
@@ -75,7 +75,7 @@
     for (; Clock::now() < end; ++asked) {
       const std::string answer = ask("GET", "/safe/", "r" + std::to_string(asked));
       served += status_of(answer) == "HTTP/1.1 200" ? 1 : 0;
-      last_ = status_of(answer) == "HTTP/1.1 503" ? answer : last_;
+      last_refusal_ = status_of(answer) == "HTTP/1.1 503" ? answer : last_refusal_;
       std::this_thread::sleep_for(milliseconds(20));
       if (asked % 25 == 0) {
         beat();
@@ -84,39 +84,39 @@
     return served;
   }
   std::deque<BackoffEngine> backoff_engines_;
-  std::string last_;  ///< last response with status 503
+  std::string last_refusal_;  ///< last response with status 503
 };
 
 TEST_F(BackendBackoffTest, BackEndsInBackoffGetNoRequestsWhileOthersServe) {
-  constexpr milliseconds kRest{2500};
+  constexpr milliseconds kBackoff{2500};
   ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
-  add_backoff_engines(4, "2.5", kRest);
+  add_backoff_engines(4, "2.5", kBackoff);
   add_engine("other", "calls", other);
   size_t asked = 0;
   ask_for(kInFlightTime, asked);
   const size_t before = asked;
-  const size_t served = ask_for(kRest - kInFlightTime, asked);
+  const size_t served = ask_for(kBackoff - kInFlightTime, asked);
   for (const BackoffEngine& engine : backoff_engines_) {
     EXPECT_LE(engine.count_during_backoff(), kMaxDuringBackoff);
   }
   EXPECT_EQ(served, asked - before);
-  ask_for(kRest, asked);
+  ask_for(kBackoff, asked);
   for (const BackoffEngine& engine : backoff_engines_) {
     EXPECT_GT(engine.count(), 5U);  // it is used again after its backoff
   }
 }
 
 TEST_F(BackendBackoffTest, RequestsAreRefusedAtOnceWithRetryAfterWhenAllBackEndsAreInBackoff) {
-  constexpr milliseconds kRest{3000};
-  add_backoff_engines(3, "3", kRest);
+  constexpr milliseconds kBackoff{3000};
+  add_backoff_engines(3, "3", kBackoff);
   size_t asked = 0;
   ask_for(kInFlightTime, asked);
-  last_.clear();
+  last_refusal_.clear();
   const auto begin = Clock::now();
   EXPECT_EQ(ask_for(milliseconds(1), asked), 0U);
   EXPECT_LT(Clock::now() - begin, milliseconds(300));
-  ASSERT_NE(last_.find("Retry-After: "), std::string::npos);
-  const double told = std::stod(last_.substr(last_.find("Retry-After: ") + 13));
+  ASSERT_NE(last_refusal_.find("Retry-After: "), std::string::npos);
+  const double told = std::stod(last_refusal_.substr(last_refusal_.find("Retry-After: ") + 13));
   EXPECT_GT(told, 1.5);
   EXPECT_LT(told, 4.5);
   for (const BackoffEngine& engine : backoff_engines_) {
@@ -125,8 +125,8 @@
 }
 
 TEST_F(BackendBackoffTest, UnreadableRetryAfterDoesNotDisableABackEnd) {
-  for (const char* rest : {"-5", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
-    backoff_engines_.emplace_back(rest, milliseconds(300));
+  for (const char* retry_after : {"-5", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
+    backoff_engines_.emplace_back(retry_after, milliseconds(300));
     add_engine("odd" + std::to_string(backoff_engines_.size()), "calls", backoff_engines_.back().engine());
   }
   size_t asked = 0;
@@ -150,15 +150,15 @@
 }
 
 TEST(BackendBackoff, OneRequestIsSentBeforeTheOthersAfterABackoff) {
-  dispatch::BackendBackoff rest;
-  EXPECT_TRUE(rest.may_send(5, 1s));
-  rest.begin(3s);
-  EXPECT_FALSE(rest.may_send(0, 2s));
-  rest.on_accepted(2s);  // for a request that was sent before the backoff
-  EXPECT_TRUE(rest.may_send(0, 3s));
-  EXPECT_FALSE(rest.may_send(1, 3s));
-  rest.on_accepted(4s);
-  EXPECT_TRUE(rest.may_send(9, 4s));
+  dispatch::BackendBackoff backoff;
+  EXPECT_TRUE(backoff.may_send(5, 1s));
+  backoff.begin(3s);
+  EXPECT_FALSE(backoff.may_send(0, 2s));
+  backoff.on_accepted(2s);  // for a request that was sent before the backoff
+  EXPECT_TRUE(backoff.may_send(0, 3s));
+  EXPECT_FALSE(backoff.may_send(1, 3s));
+  backoff.on_accepted(4s);
+  EXPECT_TRUE(backoff.may_send(9, 4s));
 }
 
 }  // namespace
