--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -14,19 +14,19 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
-constexpr size_t kMaxAddresses = 64;
+constexpr size_t kMaxRouterAddresses = 64;
 constexpr char kJson[] = "application/json";
 constexpr char kText[] = "text/plain";
 
-void reply_status(const http::ExchangePtr& exchange, bool done) {
+void reply_empty(const http::ExchangePtr& exchange, bool done) {
   exchange->reply(done ? kOk : kUnavailable, kJson, "{}\n");
 }
 
-FleetServer::Committed answer_with(const http::ExchangePtr& exchange) {
-  return [exchange](bool done) { reply_status(exchange, done); };
+FleetServer::CommitCallback reply_when_committed(const http::ExchangePtr& exchange) {
+  return [exchange](bool done) { reply_empty(exchange, done); };
 }
 
-const char* state_of(const fleet::BackendRecord& backend) {
+const char* backend_state_text(const fleet::BackendRecord& backend) {
   if (backend.state != fleet::BackendState::kReady) {
     return "retired";
   }
@@ -41,15 +41,15 @@
   for (const fleet::ModelVersion& entry : backend.models) {
     models += (models.empty() ? "" : " ") + entry.model + "@" + std::to_string(entry.version);
   }
-  return {{"id", backend.id},     {"service", backend.service}, {"address", backend.address},
-          {"zone", backend.zone}, {"state", state_of(backend)}, {"models", models}};
+  return {{"id", backend.id},     {"service", backend.service},           {"address", backend.address},
+          {"zone", backend.zone}, {"state", backend_state_text(backend)}, {"models", models}};
 }
 
-void answer_order(const http::ExchangePtr& exchange, const std::optional<CommandResult>& result) {
+void reply_to_rollout_order(const http::ExchangePtr& exchange, const std::optional<CommandResult>& result) {
   if (!result) {
-    reply_status(exchange, false);
+    reply_empty(exchange, false);
   } else if (result->code == ResultCode::kOk) {
-    reply_status(exchange, true);
+    reply_empty(exchange, true);
   } else {
     const bool under_way = result->code == ResultCode::kUnderWay;
     exchange->reply(under_way ? kConflict : kBadRequest, kText, result->message + "\n");
@@ -72,7 +72,8 @@
     exchange->reply(kBadRequest, kText, findings.to_text());
     return;
   }
-  fleet_.commit(fleet::PutConfiguration{std::move(*configuration), exchange->body()}, answer_with(exchange));
+  fleet_.commit(fleet::PutConfiguration{std::move(*configuration), exchange->body()},
+                reply_when_committed(exchange));
 }
 
 void FleetAdminApi::get_configuration(const http::ExchangePtr& exchange) {
@@ -87,14 +88,15 @@
     exchange->reply(kBadRequest, kText, "model and version are needed\n");
     return;
   }
-  fleet_.commit(*named, answer_with(exchange));
+  fleet_.commit(*named, reply_when_committed(exchange));
 }
 
 void FleetAdminApi::order_rollout(const http::ExchangePtr& exchange) {
   Findings findings;
   fleet::StartServiceRollout order = read_rollout_order(exchange->body(), interface_.bodies, findings);
   if (!findings.empty()) {
-    // Alone, an unknown service is for the log to find: this member may be behind.
+    // An unknown service is only added to other findings. Alone, it is left to the command's checks when the
+    // log applies it, because this member may lag behind.
     if (!order.service.empty() && !fleet_.has_service(order.service)) {
       const std::string message = "'" + order.service + "' is no service with back ends";
       findings.add({"configuration", 0, 0, "rollout.service", message});
@@ -103,7 +105,7 @@
     return;
   }
   fleet_.order_rollout(std::move(order), [exchange](const std::optional<CommandResult>& result) {
-    answer_order(exchange, result);
+    reply_to_rollout_order(exchange, result);
   });
 }
 
@@ -115,7 +117,7 @@
   }
   fleet_.read_rollout(service, [this, exchange](const auto& found) {
     if (!found) {
-      reply_status(exchange, false);
+      reply_empty(exchange, false);
     } else if (found->empty()) {
       exchange->reply(kNotFound, kText, "no rollout was ordered for this service\n");
     } else {
@@ -126,56 +128,56 @@
 
 void FleetAdminApi::retire(const http::ExchangePtr& exchange, const std::string& id,
                            fleet::BackendState state) {
-  if (fleet_.retired(id, state)) {
-    reply_status(exchange, true);
+  if (fleet_.is_retired(id, state)) {
+    reply_empty(exchange, true);
     return;
   }
-  fleet_.commit(fleet::RetireBackend{id, state}, answer_with(exchange));
+  fleet_.commit(fleet::RetireBackend{id, state}, reply_when_committed(exchange));
 }
 
-std::string FleetAdminApi::backend_of(const http::Exchange& exchange) const {
+std::string FleetAdminApi::backend_name_from_path(const http::Exchange& exchange) const {
   return exchange.path().substr(interface_.paths.backends.size());
 }
 
-void FleetAdminApi::take_heartbeat(const http::ExchangePtr& exchange) {
-  const auto record = read_heartbeat(backend_of(*exchange), exchange->body(), interface_.bodies);
+void FleetAdminApi::put_heartbeat(const http::ExchangePtr& exchange) {
+  const auto record = read_heartbeat(backend_name_from_path(*exchange), exchange->body(), interface_.bodies);
   if (!record) {
     exchange->reply(kBadRequest, kText, "malformed heartbeat\n");
     return;
   }
-  if (fleet_.contradicts(*record)) {
+  if (fleet_.conflicts_with_registry(*record)) {
     exchange->reply(kConflict, kText, "another back end is known under this id or address\n");
     return;
   }
   const HeartbeatAdvice advice = fleet_.heartbeat(*record);
   if (record->state != fleet::BackendState::kReady) {
     retire(exchange, record->id, record->state);
-  } else if (advice == HeartbeatAdvice::kStay) {
-    exchange->reply(kOk, kJson, heartbeat_answer(heartbeat_address_, interface_.bodies));
+  } else if (advice == HeartbeatAdvice::kStayHere) {
+    exchange->reply(kOk, kJson, heartbeat_reply_body(heartbeat_address_, interface_.bodies));
   } else {
-    reply_status(exchange, advice != HeartbeatAdvice::kMove);
+    reply_empty(exchange, advice != HeartbeatAdvice::kMoveAway);
   }
 }
 
-void FleetAdminApi::tell_status(const http::ExchangePtr& exchange) {
+void FleetAdminApi::get_status(const http::ExchangePtr& exchange) {
   nlohmann::json status = {{"leads", fleet_.leads()},
                            {"voters", fleet_.voter_count()},
                            {"configuration", fleet_.configuration_version()},
                            {"routers", nlohmann::json::array()},
                            {"backends", nlohmann::json::array()}};
-  for (const fleet::RouterRecord& router : fleet_.routers_for("", kMaxAddresses)) {
+  for (const fleet::RouterRecord& router : fleet_.ready_routers("", kMaxRouterAddresses)) {
     status["routers"].push_back({{"name", router.name}, {"address", router.address}, {"zone", router.zone}});
   }
-  for (const fleet::BackendRecord& backend : fleet_.knowledge().registry().records()) {
+  for (const fleet::BackendRecord& backend : fleet_.soft_state().registry().records()) {
     status["backends"].push_back(backend_status(backend));
   }
   exchange->reply(kOk, kJson, status.dump() + "\n");
 }
 
-void FleetAdminApi::tell_routers(const http::ExchangePtr& exchange) {
+void FleetAdminApi::get_routers(const http::ExchangePtr& exchange) {
   std::vector<std::string> addresses;
   const std::string zone = exchange->query(interface_.paths.zone_parameter);
-  for (const fleet::RouterRecord& router : fleet_.routers_for(zone, kMaxAddresses)) {
+  for (const fleet::RouterRecord& router : fleet_.ready_routers(zone, kMaxRouterAddresses)) {
     addresses.push_back(router.address);
   }
   if (addresses.empty()) {
@@ -196,17 +198,18 @@
                [this](const http::ExchangePtr& exchange) { order_rollout(exchange); });
   server.route("GET", paths.rollouts + "/*",
                [this](const http::ExchangePtr& exchange) { get_rollout(exchange); });
-  server.route("GET", paths.status, [this](const http::ExchangePtr& exchange) { tell_status(exchange); });
+  server.route("GET", paths.status, [this](const http::ExchangePtr& exchange) { get_status(exchange); });
   const std::string backends = paths.backends + "*";
-  server.route("PUT", backends, [this](const http::ExchangePtr& exchange) { take_heartbeat(exchange); });
+  server.route("PUT", backends, [this](const http::ExchangePtr& exchange) { put_heartbeat(exchange); });
   server.route("DELETE", backends, [this](const http::ExchangePtr& exchange) {
-    retire(exchange, fleet_.incarnation_of(backend_of(*exchange)), fleet::BackendState::kGone);
+    retire(exchange, fleet_.newest_incarnation(backend_name_from_path(*exchange)),
+           fleet::BackendState::kGone);
   });
 }
 
 void FleetAdminApi::add_directory_routes(http::Server& server) {
   server.route("GET", interface_.paths.routers,
-               [this](const http::ExchangePtr& exchange) { tell_routers(exchange); });
+               [this](const http::ExchangePtr& exchange) { get_routers(exchange); });
 }
 
 }  // namespace stoat::control
--- a/src/control/fleet_admin_api.h
+++ b/src/control/fleet_admin_api.h
@@ -1,4 +1,4 @@
-/// The calls to a control member over HTTP: the operators', the back ends', and the directory of routers.
+/// HTTP API of a control member: requests of operators and backends, and the directory of routers.
 #pragma once
 
 #include "src/control/fleet_interface.h"
@@ -7,19 +7,19 @@
 
 namespace stoat::control {
 
-/// See the head of this file. Must outlive the servers that its routes were added to.
+/// See the top of this file. Must outlive the servers that its routes were added to.
 class FleetAdminApi {
  public:
-  /// Answers of the directory hold for `directory_lifetime_s`. `heartbeat_address`: "address:port" at which
-  /// this member takes heartbeats.
+  /// `directory_lifetime_s`: how long clients may use a reply of the directory, in seconds.
+  /// `heartbeat_address`: "address:port" at which this member accepts heartbeats.
   FleetAdminApi(FleetServer& fleet, FleetInterface interface, double directory_lifetime_s,
                 std::string heartbeat_address);
   FleetAdminApi(const FleetAdminApi&) = delete;
   FleetAdminApi& operator=(const FleetAdminApi&) = delete;
 
-  /// Adds the calls of operators and back ends.
+  /// Adds the routes for operators and backends.
   void add_control_routes(http::Server& server);
-  /// Adds the directory's call.
+  /// Adds the route of the router directory.
   void add_directory_routes(http::Server& server);
 
  private:
@@ -29,10 +29,10 @@
   void order_rollout(const http::ExchangePtr& exchange);
   void get_rollout(const http::ExchangePtr& exchange);
   void retire(const http::ExchangePtr& exchange, const std::string& id, fleet::BackendState state);
-  void take_heartbeat(const http::ExchangePtr& exchange);
-  void tell_status(const http::ExchangePtr& exchange);
-  void tell_routers(const http::ExchangePtr& exchange);
-  std::string backend_of(const http::Exchange& exchange) const;
+  void put_heartbeat(const http::ExchangePtr& exchange);
+  void get_status(const http::ExchangePtr& exchange);
+  void get_routers(const http::ExchangePtr& exchange);
+  std::string backend_name_from_path(const http::Exchange& exchange) const;
 
   FleetServer& fleet_;
   FleetInterface interface_;
--- a/src/control/fleet_bodies.h
+++ b/src/control/fleet_bodies.h
@@ -1,4 +1,4 @@
-/// Reads and writes the JSON bodies of requests to control members, engines and stores.
+/// Parses and formats the JSON bodies of messages to and from control members, engines and KV stores.
 #pragma once
 
 #include <optional>
@@ -14,35 +14,39 @@
 
 namespace stoat::control {
 
-/// A whole configuration. Everything wrong with it, its contradictions included, becomes a finding.
+/// Parses and checks a complete configuration. Every error, including contradictions between its parts, is
+/// reported as a finding; nullopt if there are any.
 std::optional<fleet::FleetConfiguration> read_configuration(const std::string& text, const BodyNames& names,
                                                             Findings& findings);
 
-/// A heartbeat of the back end that calls itself `name`; nullopt when it can't be read.
+/// Parses a heartbeat of the backend `name`; nullopt if it is malformed.
 std::optional<fleet::BackendRecord> read_heartbeat(const std::string& name, const std::string& text,
                                                    const BodyNames& names);
 
-/// A named version of weights; nullopt when it can't be read.
+/// Parses the command that names the version of a model's weights that engines must load; nullopt if it is
+/// malformed.
 std::optional<fleet::NameWeights> read_named_weights(const std::string& text);
 
-/// An operator's order to move a service to another version; what is wrong with it becomes findings.
+/// Parses an operator's order to roll out another version of a service. Errors are reported as findings.
 fleet::StartServiceRollout read_rollout_order(const std::string& text, const BodyNames& names,
                                               Findings& findings);
 
-/// The state of a service's rollout as operators see it.
+/// Formats the state of a service's rollout for operators.
 std::string rollout_body(const fleet::ServiceRollout& rollout, const BodyNames& names);
 
+/// Parses an engine's report of its state; nullopt if it is malformed.
 std::optional<EngineReport> read_report(const std::string& text, const BodyNames& names);
 
-/// What a cache of an engine or a store tells of its changes; nullopt when it is malformed.
+/// Parses the cache events of an engine or a KV store; nullopt if they are malformed.
 std::optional<CacheEvents> read_cache_events(const std::string& text, const BodyNames& names);
 
-std::string order_body(const VersionOrder& order, const BodyNames& names);
+/// Formats an order to an engine to load new weights.
+std::string weight_order_body(const VersionOrder& order, const BodyNames& names);
 
-/// The answer to a heartbeat: later ones should go to `address`.
-std::string heartbeat_answer(const std::string& address, const BodyNames& names);
+/// Formats the reply to a heartbeat: later ones should be sent to `address`, an "address:port".
+std::string heartbeat_reply_body(const std::string& address, const BodyNames& names);
 
-/// The answer of the directory of routers.
+/// Formats the reply of the router directory. Clients may use it for `lifetime_s` seconds.
 std::string routers_body(const std::vector<std::string>& addresses, double lifetime_s);
 
 }  // namespace stoat::control
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -1,17 +1,17 @@
-/// FleetServer: commands and confirmed reads, from this member's callers and from other members.
+/// FleetServer: commands and confirmed reads, from local callers and from other members.
 #include "src/control/fleet_server.h"
 
 namespace stoat::control {
 
 namespace {
 
-/// Callers turn to another member after a second without an answer.
-constexpr Duration kCallLimit = 2500ms;
+/// Upper bound for pending calls. Clients try another member after 1 s without a reply.
+constexpr Duration kCallTimeout = 2500ms;
 
 }  // namespace
 
 bool FleetServer::accepts(const Command& command) const {
-  // While the fleet is founded, a configuration waits until it would be on enough disks.
+  // During bootstrap, only retirements are accepted until there are enough voters to make a command durable.
   return voter_count() >= settings_.core.target_voters ||
          std::holds_alternative<fleet::RetireBackend>(command.value);
 }
@@ -26,7 +26,7 @@
     channel->send(reply);
   };
   if (!core_->replica().leads()) {
-    // Never passed on twice: the member that asks sends it to the next leader.
+    // A call is never forwarded a second time: the member that sent it retries with the next leader.
     wire::ControlAnswer reply;
     reply.call_id = call_id;
     reply.status = wire::CallStatus::kNotLeader;
@@ -48,55 +48,55 @@
   read(question.rollout_of, answer);
 }
 
-uint64_t FleetServer::add_waiting(Waiting waiting) {
+uint64_t FleetServer::add_pending_call(PendingCall pending) {
   const uint64_t token = ++last_token_;
-  waiting.expires = loop_.now() + kCallLimit;
-  waiting_[token] = std::move(waiting);
+  pending.expires = loop_.now() + kCallTimeout;
+  pending_calls_[token] = std::move(pending);
   return token;
 }
 
-void FleetServer::finish(uint64_t token, const CallOutcome& outcome) {
-  const auto found = waiting_.find(token);
-  if (found == waiting_.end()) {
+void FleetServer::finish_call(uint64_t token, const CallOutcome& outcome) {
+  const auto found = pending_calls_.find(token);
+  if (found == pending_calls_.end()) {
     return;
   }
-  const Waiting waiting = std::move(found->second);
-  waiting_.erase(found);
-  forwarded_.erase(token);
-  waiting.on_end(outcome);
+  const PendingCall pending = std::move(found->second);
+  pending_calls_.erase(found);
+  forwarded_calls_.erase(token);
+  pending.on_end(outcome);
 }
 
-void FleetServer::take_command(uint64_t token, Command command) {
+void FleetServer::append_command(uint64_t token, Command command) {
   if (!accepts(command)) {
-    finish(token, {});
+    finish_call(token, {});
     return;
   }
   if (auto* order = std::get_if<fleet::StartServiceRollout>(&command.value)) {
-    stamp(*order);
+    fill_in_order(*order);
   }
   core_->call(token, command, loop_.now());
   driver_->drive();
 }
 
 void FleetServer::propose(Command command, std::function<void(const CallOutcome&)> on_end) {
-  const uint64_t token = add_waiting({.on_end = std::move(on_end)});
+  const uint64_t token = add_pending_call({.on_end = std::move(on_end)});
   if (core_->replica().leads()) {
-    take_command(token, std::move(command));
+    append_command(token, std::move(command));
     return;
   }
   forward(token, wire::ControlCall{token, std::move(command)});
 }
 
-void FleetServer::commit(Command command, Committed on_done) {
+void FleetServer::commit(Command command, CommitCallback on_done) {
   propose(std::move(command),
           [on_done = std::move(on_done)](const CallOutcome& outcome) { on_done(outcome.done); });
 }
 
 void FleetServer::forward(uint64_t token, wire::Message message) {
   const TimePoint now = loop_.now();
-  forwarded_.on_leader(core_->leader_address(), now);
-  if (!forwarded_.add(token, std::move(message), now)) {
-    finish(token, {});
+  forwarded_calls_.on_leader(core_->leader_address(), now);
+  if (!forwarded_calls_.add(token, std::move(message), now)) {
+    finish_call(token, {});
     return;
   }
   send_forwarded();
@@ -104,30 +104,30 @@
 
 void FleetServer::send_forwarded() {
   const TimePoint now = loop_.now();
-  forwarded_.on_leader(core_->leader_address(), now);
-  for (ForwardedCalls::Call& call : forwarded_.take_due()) {
+  forwarded_calls_.on_leader(core_->leader_address(), now);
+  for (ForwardedCalls::Call& call : forwarded_calls_.take_due()) {
     if (const ChannelPtr leader = leader_channel()) {
       leader->send(call.message);
     } else if (auto* own = std::get_if<wire::ControlCall>(&call.message.value)) {
-      take_command(call.token, std::move(own->command));  // this member has come to lead
+      append_command(call.token, std::move(own->command));  // this member has become the leader
     } else {
       core_->read(call.token, now);
       driver_->drive();
     }
   }
-  for (const uint64_t token : forwarded_.leaderless(now)) {
-    finish(token, {});
+  for (const uint64_t token : forwarded_calls_.leaderless(now)) {
+    finish_call(token, {});
   }
 }
 
-void FleetServer::read(const std::string& rollout_of, std::function<void(const CallOutcome&)> on_end) {
-  const uint64_t token = add_waiting({.on_end = std::move(on_end), .rollout_of = rollout_of});
+void FleetServer::read(const std::string& rollout_service, std::function<void(const CallOutcome&)> on_end) {
+  const uint64_t token = add_pending_call({.on_end = std::move(on_end), .rollout_service = rollout_service});
   if (core_->replica().leads()) {
     core_->read(token, loop_.now());
     driver_->drive();
     return;
   }
-  forward(token, fleet::ConfirmedRead{token, rollout_of});
+  forward(token, fleet::ConfirmedRead{token, rollout_service});
 }
 
 void FleetServer::read_configuration(std::function<void(std::optional<std::string>)> on_read) {
@@ -146,28 +146,28 @@
     CallOutcome outcome;
     outcome.done = answer.status == wire::CallStatus::kDone;
     outcome.result = answer.result;
-    const auto waiting = waiting_.find(answer.token);
-    if (waiting != waiting_.end() && !waiting->second.rollout_of.empty()) {
-      outcome.rollout = rollout_of(waiting->second.rollout_of);
+    const auto pending = pending_calls_.find(answer.token);
+    if (pending != pending_calls_.end() && !pending->second.rollout_service.empty()) {
+      outcome.rollout = last_rollout(pending->second.rollout_service);
     } else {
       outcome.source = core_->state().fleet().source();
     }
-    finish(answer.token, outcome);
+    finish_call(answer.token, outcome);
   }
   delivering_ = false;
-  notice_changes();
+  handle_state_changes();
 }
 
 void FleetServer::expire_calls() {
   const TimePoint now = loop_.now();
   std::vector<uint64_t> expired;
-  for (const auto& [token, waiting] : waiting_) {
-    if (now >= waiting.expires) {
+  for (const auto& [token, pending] : pending_calls_) {
+    if (now >= pending.expires) {
       expired.push_back(token);
     }
   }
   for (const uint64_t token : expired) {
-    finish(token, {});
+    finish_call(token, {});
   }
 }
 
--- a/src/control/fleet_engine_client.cc
+++ b/src/control/fleet_engine_client.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Engines answer within some milliseconds or not at all.
+/// Engines answer within a few milliseconds or not at all.
 constexpr Duration kOrderTimeout = 250ms;
 constexpr Duration kReportTimeout = 500ms;
-constexpr Duration kEventsWait = 1s;
+constexpr Duration kCacheEventsWait = 1s;
 
-OrderAnswer answer_of(const http::ClientResult& result) {
+OrderAnswer to_order_answer(const http::ClientResult& result) {
   switch (result.status) {
     case 200:
       return OrderAnswer::kHoldsAlready;
@@ -41,11 +41,11 @@
   request.path = interface_.paths.order;
   request.headers = {{"Content-Type", "application/json"},
                      {interface_.expected_backend_header, std::string(fleet::backend_name(order.engine))}};
-  request.body = order_body(order, interface_.bodies);
+  request.body = weight_order_body(order, interface_.bodies);
   request.timeout = kOrderTimeout;
   request.fresh_connection = true;
   client_.start(request, nullptr, [on_answer = std::move(on_answer)](const http::ClientResult& result) {
-    on_answer(answer_of(result));
+    on_answer(to_order_answer(result));
   });
 }
 
@@ -72,8 +72,8 @@
     return;
   }
   request.path = interface_.paths.cache_events + "?since=" + std::to_string(since);
-  request.headers = {{interface_.wait_header, std::to_string(to_milliseconds(kEventsWait))}};
-  request.timeout = kEventsWait + kReportTimeout;
+  request.headers = {{interface_.wait_header, std::to_string(to_milliseconds(kCacheEventsWait))}};
+  request.timeout = kCacheEventsWait + kReportTimeout;
   client_.start(request, nullptr, [this, on_events = std::move(on_events)](const http::ClientResult& result) {
     constexpr int kOk = 200;
     const auto events =
--- a/src/control/fleet_engine_client.h
+++ b/src/control/fleet_engine_client.h
@@ -1,4 +1,4 @@
-/// Orders and questions to engines and stores over HTTP.
+/// HTTP client for orders and queries to engines and KV stores.
 #pragma once
 
 #include "src/control/engine_orders.h"
@@ -7,7 +7,7 @@
 
 namespace stoat::control {
 
-/// See the head of this file.
+/// See the top of this file.
 class EngineClient : public EngineOrders {
  public:
   EngineClient(EventLoop& loop, FleetInterface interface) : client_(loop), interface_(std::move(interface)) {}
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -1,15 +1,16 @@
-/// The names and paths by which operators, back ends and callers speak to a control member, as data: the
-/// defaults are the product's own, and an adapter to another platform gives its own.
+/// Field names, paths and headers of the HTTP interface between control members and operators, backends,
+/// engines and clients. The defaults are stoatstack's own; an adapter to another platform supplies different
+/// values.
 #pragma once
 
 #include <string>
 
 namespace stoat::control {
 
-/// Names of JSON fields that differ between platforms. Fields with the plain words of the field (name, host,
-/// kind and the like) are the same everywhere and stand in fleet_bodies.cc.
+/// Names of JSON fields that differ between platforms. Common names such as name, host and kind are the same
+/// everywhere and are literals in fleet_bodies.cc.
 struct BodyNames {
-  // a configuration
+  // configuration
   std::string open_route = "open";
   std::string shares = "shares";
   std::string store_address = "store_address";
@@ -20,21 +21,22 @@
   std::string quota_unit = "quota_unit";
   std::string tokens_without_count = "tokens_without_count";
   std::string keys = "keys";
-  // what a cache tells of its changes
+  // cache events
   std::string next_event = "next_event";
   std::string gap = "gap";
-  // a heartbeat
+  // heartbeat
   std::string software = "software";
-  std::string started = "started_ms";  ///< Unix time of the back end's start; also in a report
-  std::string heartbeat_address = "heartbeat_address";  ///< in the answer: where later ones should go
-  // an operator's order to move a service to another version
+  std::string started = "started_ms";  ///< Unix time of the backend's start, in ms; also in a report
+  std::string heartbeat_address = "heartbeat_address";  ///< in the reply: where to send later ones
+  // operator's order to roll out another version of a service
   std::string rollout_target = "target_version";
   std::string rollout_seconds = "duration_s";
-  // an order to an engine
+  // order to an engine to load weights
   std::string operation = "operation";
-  std::string load_weights = "load_weights";  ///< the operation
+  std::string load_weights = "load_weights";  ///< value of `operation`
   std::string mode = "running_requests";
-  std::string mode_continue = "continue";  ///< running requests go on under the new weights
+  std::string mode_continue =
+      "continue";  ///< value of `mode`: running requests continue with the new weights
   std::string holder = "leader";
   std::string fence = "fence";
   std::string expected_sequence = "expected_sequence";
@@ -42,26 +44,26 @@
 
 /// Paths of HTTP requests.
 struct FleetPaths {
-  // of a control member
+  // control member
   std::string configuration = "/v1/configuration";
   std::string weights = "/v1/weights";
-  std::string backends = "/v1/backends/";  ///< the id follows
+  std::string backends = "/v1/backends/";  ///< followed by the backend's id
   std::string routers = "/v1/routers";
-  std::string zone_parameter = "zone";  ///< of a question for routers: the zone of the caller
+  std::string zone_parameter = "zone";  ///< query parameter of `routers`: the client's zone
   std::string status = "/v1/status";
-  std::string rollouts = "/v1/rollouts";  ///< the service's name follows in a question for one
-  // of an engine or a store
+  std::string rollouts = "/v1/rollouts";  ///< with "/" and a service's name: state of its rollout
+  // engine or KV store
   std::string order = "/v1/order";
   std::string report = "/v1/report";
   std::string cache_events = "/v1/cache-events";
 };
 
-/// See the head of this file.
+/// See the top of this file.
 struct FleetInterface {
   BodyNames bodies;
   FleetPaths paths;
   std::string expected_backend_header = "X-Expected-Backend";
-  std::string wait_header = "X-Wait-Ms";  ///< how long a cache may wait with its answer for changes
+  std::string wait_header = "X-Wait-Ms";  ///< how long a cache may wait for changes before it replies, in ms
 };
 
 }  // namespace stoat::control
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_knowledge.cc
@@ -7,16 +7,17 @@
 
 namespace {
 
-/// Members exchange news at least every 200 ms; one that is silent for so long is taken to be cut off.
-constexpr Duration kPeerLease = 800ms;
-/// Placements kept for routers that are behind. Some hundred a second come in at the sizes meant.
+/// Members exchange updates at least every 200 ms; one that is silent for this long is considered cut off.
+constexpr Duration kPeerTimeout = 800ms;
+/// Placements kept for routers that lag behind. A few hundred arrive per second at the intended fleet sizes.
 constexpr size_t kMaxPlacements = 4096;
-/// A router that reaches no member honours keys for about so long (gateway::ControlLinkOptions::key_lease).
-constexpr Duration kAloneTime = 4500ms;
+/// A router that cannot reach any member continues to accept API keys for about this long
+/// (gateway::ControlLinkOptions::key_lease).
+constexpr Duration kIsolatedServeTime = 4500ms;
 
 }  // namespace
 
-FleetKnowledge::FleetKnowledge(KnowledgeOptions options)
+FleetSoftState::FleetSoftState(SoftStateOptions options)
     : options_(std::move(options)),
       registry_(options_.registry),
       routers_(options_.topology),
@@ -24,165 +25,165 @@
       cache_duty_(options_.address, options_.topology),
       caches_(options_.address) {}
 
-bool FleetKnowledge::on_heartbeat(const fleet::BackendRecord& record, TimePoint now) {
+bool FleetSoftState::on_heartbeat(const fleet::BackendRecord& record, TimePoint now) {
   const uint64_t before = registry_.table().revision();
   if (!registry_.on_heartbeat(record, now)) {
     return false;
   }
   if (registry_.table().revision() == before) {
-    untold_.marks.push_back({fleet::mark_key(record.id), record.sequence});
+    pending_update_.marks.push_back({fleet::mark_key(record.id), record.sequence});
   } else {
-    untold_.heartbeats.push_back(record);
+    pending_update_.heartbeats.push_back(record);
   }
   return true;
 }
 
-void FleetKnowledge::take_marks(const fleet::PeerNews& news, TimePoint now) {
-  for (const fleet::HeartbeatMark& mark : news.marks) {
+void FleetSoftState::apply_heartbeat_marks(const fleet::PeerNews& peer_update, TimePoint now) {
+  for (const fleet::HeartbeatMark& mark : peer_update.marks) {
     if (registry_.on_mark(mark.backend, mark.sequence, now) == fleet::MarkResult::kUnknown) {
-      missing_records_[news.sender].insert(mark.backend);
+      missing_record_keys_[peer_update.sender].insert(mark.backend);
     }
   }
-  for (const fleet::RecordQuestion& question : news.questions) {
+  for (const fleet::RecordQuestion& question : peer_update.questions) {
     if (question.member != options_.address) {
       continue;
     }
     for (const uint64_t key : question.backends) {
       if (const fleet::BackendRecord* record = registry_.find_by_key(key)) {
-        untold_.heartbeats.push_back(*record);
+        pending_update_.heartbeats.push_back(*record);
       }
     }
   }
 }
 
-bool FleetKnowledge::on_router(const fleet::RouterRecord& router, bool follows, TimePoint now) {
+bool FleetSoftState::on_router(const fleet::RouterRecord& router, bool follows, TimePoint now) {
   silent_routers_.erase(router.name);
   const bool changed = routers_.on_status(router, now);
-  const auto known = followers_.find(router.name);
-  if (follows && (known == followers_.end() || known->second != router)) {
-    followers_[router.name] = router;
-    untold_.routers.push_back({router, true});
-  } else if (!follows && known != followers_.end()) {
-    followers_.erase(known);
+  const auto known = following_routers_.find(router.name);
+  if (follows && (known == following_routers_.end() || known->second != router)) {
+    following_routers_[router.name] = router;
+    pending_update_.routers.push_back({router, true});
+  } else if (!follows && known != following_routers_.end()) {
+    following_routers_.erase(known);
     loads_.forget_router(router.name);
-    untold_.routers.push_back({router, false});
+    pending_update_.routers.push_back({router, false});
   }
   return changed;
 }
 
-void FleetKnowledge::on_router_loads(const fleet::RouterLoads& loads, TimePoint now) {
+void FleetSoftState::on_router_loads(const fleet::RouterLoads& loads, TimePoint now) {
   for (const std::string& backend : loads.unreachable) {
     registry_.note_unreachable(backend, loads.router, now);
-    untold_.unreachable.push_back({loads.router, backend});
+    pending_update_.unreachable.push_back({loads.router, backend});
   }
   quotas_.on_router(loads.spending, now);
   answers_.on_router(loads);
   limits_.on_router(loads.limits);
   crashes_.on_router(loads.crashes, now);
-  if (followers_.count(loads.router) > 0) {
+  if (following_routers_.count(loads.router) > 0) {
     loads_.set_router(loads.router, loads.loads);
   }
 }
 
-void FleetKnowledge::forget_router(const std::string& name) {
+void FleetSoftState::forget_router(const std::string& name) {
   routers_.forget(name);
   loads_.forget_router(name);
-  const auto known = followers_.find(name);
-  if (known != followers_.end()) {
-    untold_.routers.push_back({known->second, false});
-    followers_.erase(known);
+  const auto known = following_routers_.find(name);
+  if (known != following_routers_.end()) {
+    pending_update_.routers.push_back({known->second, false});
+    following_routers_.erase(known);
   }
 }
 
-void FleetKnowledge::silence_router(const std::string& name, TimePoint now) {
-  if (followers_.count(name) > 0) {
+void FleetSoftState::on_router_silent(const std::string& name, TimePoint now) {
+  if (following_routers_.count(name) > 0) {
     silent_routers_[name] = now;
   }
   forget_router(name);
 }
 
-double FleetKnowledge::unheard_share(TimePoint now) const {
+double FleetSoftState::unheard_share(TimePoint now) const {
   const size_t total = routers_.size() + silent_routers_.size();
   if (total == 0) {
     return 0;
   }
-  const double unheard = static_cast<double>(routers_.count_unheard(followers_, now)) +
+  const double unheard = static_cast<double>(routers_.count_unheard(following_routers_, now)) +
                          admission::kAlonePart * static_cast<double>(silent_routers_.size());
   return unheard / static_cast<double>(total);
 }
 
-void FleetKnowledge::add_placement(const fleet::ChainPlacement& placement) {
+void FleetSoftState::add_placement(const fleet::ChainPlacement& placement) {
   placements_.push_back(placement);
   if (placements_.size() > kMaxPlacements) {
     placements_.pop_front();
-    ++placements_dropped_;
+    ++dropped_placements_;
   }
 }
 
-void FleetKnowledge::on_placements(const std::vector<fleet::ChainPlacement>& placements) {
+void FleetSoftState::on_placements(const std::vector<fleet::ChainPlacement>& placements) {
   for (const fleet::ChainPlacement& placement : placements) {
     const std::vector<uint64_t> added = caches_.note_shared(placement.links);
-    untold_.shared_parts.insert(untold_.shared_parts.end(), added.begin(), added.end());
-    tell_shared(added);
+    pending_update_.shared_parts.insert(pending_update_.shared_parts.end(), added.begin(), added.end());
+    announce_shared_parts(added);
     if (!caches_.told(placement)) {
       add_placement(placement);
-      untold_.placements.push_back(placement);
+      pending_update_.placements.push_back(placement);
     }
   }
 }
 
-void FleetKnowledge::on_cache_changes(const std::vector<fleet::CacheChanges>& changes) {
+void FleetSoftState::on_cache_changes(const std::vector<fleet::CacheChanges>& changes) {
   for (const fleet::CacheChanges& change : changes) {
     const CacheMirror::Cache* known = caches_.find(change.holder);
-    const bool same_head =
+    const bool same_claim =
         known != nullptr && known->followed == change.followed && known->claim == change.claim;
     if (!caches_.apply(options_.address, change)) {
       continue;
     }
-    fleet::CacheChanges told = only_shared(change);
-    if (!same_head || told.anew || !told.holdings.empty()) {
-      untold_.caches.push_back(std::move(told));
+    fleet::CacheChanges shared_changes = filter_shared(change);
+    if (!same_claim || shared_changes.anew || !shared_changes.holdings.empty()) {
+      pending_update_.caches.push_back(std::move(shared_changes));
     }
   }
 }
 
-fleet::CacheChanges FleetKnowledge::only_shared(fleet::CacheChanges changes) const {
+fleet::CacheChanges FleetSoftState::filter_shared(fleet::CacheChanges changes) const {
   std::erase_if(changes.holdings,
                 [this](const fleet::PartHolding& holding) { return !caches_.shared(holding.part); });
   return changes;
 }
 
-void FleetKnowledge::tell_shared(const std::vector<uint64_t>& parts) {
+void FleetSoftState::announce_shared_parts(const std::vector<uint64_t>& parts) {
   if (parts.empty()) {
     return;
   }
   for (const std::string& holder : caches_.followed_by(options_.address)) {
     const CacheMirror::Cache& cache = *caches_.find(holder);
-    fleet::CacheChanges told{holder,      cache.store, cache.followed,   false,
-                             cache.claim, cache.epoch, cache.next_event, {}};
+    fleet::CacheChanges announced{holder,      cache.store, cache.followed,   false,
+                                  cache.claim, cache.epoch, cache.next_event, {}};
     for (const uint64_t part : parts) {
       const auto held = cache.parts.find(part);
       if (held != cache.parts.end()) {
-        told.holdings.push_back(held->second);
+        announced.holdings.push_back(held->second);
       }
     }
-    if (!told.holdings.empty()) {
-      untold_.caches.push_back(std::move(told));
+    if (!announced.holdings.empty()) {
+      pending_update_.caches.push_back(std::move(announced));
     }
   }
 }
 
-void FleetKnowledge::set_loading(const std::string& id, bool loading) {
+void FleetSoftState::set_loading(const std::string& id, bool loading) {
   registry_.set_loading(id, loading);
-  untold_engines_.insert(id);
+  pending_engine_ids_.insert(id);
 }
 
-void FleetKnowledge::set_version(const std::string& id, const std::string& model, uint64_t version) {
+void FleetSoftState::set_version(const std::string& id, const std::string& model, uint64_t version) {
   registry_.set_version(id, model, version);
-  untold_engines_.insert(id);
+  pending_engine_ids_.insert(id);
 }
 
-void FleetKnowledge::clear_loading() {
+void FleetSoftState::clear_loading() {
   for (const fleet::BackendRecord& record : registry_.records()) {
     if (record.loading) {
       set_loading(record.id, false);
@@ -190,12 +191,12 @@
   }
 }
 
-void FleetKnowledge::apply_engine_notes(const fleet::PeerNews& news) {
-  if (!news.leads || news.term < notes_term_) {
+void FleetSoftState::apply_engine_notes(const fleet::PeerNews& peer_update) {
+  if (!peer_update.leads || peer_update.term < engine_notes_term_) {
     return;
   }
-  notes_term_ = news.term;
-  for (const fleet::EngineNote& note : news.engines) {
+  engine_notes_term_ = peer_update.term;
+  for (const fleet::EngineNote& note : peer_update.engines) {
     registry_.set_loading(note.id, note.loading);
     for (const fleet::ModelVersion& entry : note.models) {
       registry_.set_version(note.id, entry.model, entry.version);
@@ -203,67 +204,71 @@
   }
 }
 
-void FleetKnowledge::on_peer_news(const fleet::PeerNews& news, TimePoint now) {
-  Peer& peer = peers_[news.sender];
-  peer.zone = news.zone;
+void FleetSoftState::on_peer_update(const fleet::PeerNews& peer_update, TimePoint now) {
+  Peer& peer = peers_[peer_update.sender];
+  peer.zone = peer_update.zone;
   peer.heard = now;
-  routers_.on_member_heard(news.sender, now);
-  // It has just started, and this is all that it knows.
-  const bool first = !news.anew && news.number == 1 && peer.number == 0;
-  if (news.anew) {
-    loads_.forget_peer(news.sender);
+  routers_.on_member_heard(peer_update.sender, now);
+  // The first update of a member that has just started contains its full state.
+  const bool is_first = !peer_update.anew && peer_update.number == 1 && peer.last_number == 0;
+  if (peer_update.anew) {
+    loads_.forget_peer(peer_update.sender);
     peer.complete = true;
-  } else if (first) {
+  } else if (is_first) {
     peer.complete = true;
-  } else if (news.number != peer.number + 1) {
-    peer.complete = false;  // something of it was lost, or it has never told the whole
+  } else if (peer_update.number != peer.last_number + 1) {
+    peer.complete = false;  // an update was lost, or the sender never sent its full state
   }
-  peer.number = news.number;
-  if (std::find(news.incomplete.begin(), news.incomplete.end(), options_.address) != news.incomplete.end()) {
-    whole_requests_.insert(news.sender);
+  peer.last_number = peer_update.number;
+  if (std::find(peer_update.incomplete.begin(), peer_update.incomplete.end(), options_.address) !=
+      peer_update.incomplete.end()) {
+    full_state_requests_.insert(peer_update.sender);
   }
-  for (const fleet::BackendRecord& record : news.heartbeats) {
+  for (const fleet::BackendRecord& record : peer_update.heartbeats) {
     registry_.on_heartbeat(record, now);
   }
-  take_marks(news, now);
-  for (const fleet::RouterNotice& notice : news.routers) {
+  apply_heartbeat_marks(peer_update, now);
+  for (const fleet::RouterNotice& notice : peer_update.routers) {
     silent_routers_.erase(notice.router.name);
-    routers_.on_notice(news.sender, notice, now);
+    routers_.on_notice(peer_update.sender, notice, now);
   }
-  for (const fleet::UnreachableNotice& notice : news.unreachable) {
+  for (const fleet::UnreachableNotice& notice : peer_update.unreachable) {
     registry_.note_unreachable(notice.backend, notice.router, now);
   }
-  loads_.on_peer(news.sender, news.loads);
-  limits_.on_peer(news.limits);
-  crashes_.on_peer(news.crashes, now);
-  for (const fleet::CacheChanges& changes : news.caches) {
-    caches_.apply(news.sender, changes);
+  loads_.on_peer(peer_update.sender, peer_update.loads);
+  limits_.on_peer(peer_update.limits);
+  crashes_.on_peer(peer_update.crashes, now);
+  for (const fleet::CacheChanges& changes : peer_update.caches) {
+    caches_.apply(peer_update.sender, changes);
   }
-  tell_shared(caches_.note_shared(news.shared_parts));
-  for (const fleet::ChainPlacement& placement : news.placements) {
-    tell_shared(caches_.note_shared(placement.links));
+  announce_shared_parts(caches_.note_shared(peer_update.shared_parts));
+  for (const fleet::ChainPlacement& placement : peer_update.placements) {
+    announce_shared_parts(caches_.note_shared(placement.links));
     add_placement(placement);
   }
-  apply_engine_notes(news);
+  apply_engine_notes(peer_update);
   using admission::SumsScope;
-  const SumsScope scope = news.anew ? SumsScope::kAll : first ? SumsScope::kFirst : SumsScope::kChanged;
-  quotas_.on_peer(news.sender, news.start_id, scope, news.spending, now);
-  answers_.on_member(news.sender, news.start_id, news.answers);
-  if (news.anew) {
-    quotas_.adopt(news.windows, Duration(1000 * news.quotas_age_ms), now);
+  const SumsScope scope = peer_update.anew ? SumsScope::kAll
+                          : is_first       ? SumsScope::kFirst
+                                           : SumsScope::kChanged;
+  quotas_.on_peer(peer_update.sender, peer_update.start_id, scope, peer_update.spending, now);
+  answers_.on_member(peer_update.sender, peer_update.start_id, peer_update.answers);
+  if (peer_update.anew) {
+    quotas_.adopt(peer_update.windows, Duration(1000 * peer_update.quotas_age_ms), now);
   }
 }
 
-void FleetKnowledge::expire(TimePoint now) {
-  settled_ = settled_ || now - options_.started > options_.registry.lost_after;
+void FleetSoftState::expire(TimePoint now) {
+  warmed_up_ = warmed_up_ || now - options_.started > options_.registry.lost_after;
   registry_.expire(now);
   routers_.expire(now);
   expire_limits();
   crashes_.expire(now);
-  std::erase_if(silent_routers_, [now](const auto& entry) { return now - entry.second > kAloneTime; });
+  std::erase_if(silent_routers_,
+                [now](const auto& entry) { return now - entry.second > kIsolatedServeTime; });
   quotas_.update(unheard_share(now), now);
   for (auto entry = peers_.begin(); entry != peers_.end();) {
-    if (now - entry->second.heard <= kPeerLease) {
+    if (now - entry->second.heard <= kPeerTimeout) {
       ++entry;
       continue;
     }
@@ -273,9 +278,9 @@
   }
 }
 
-void FleetKnowledge::expire_limits() {
-  if (!settled_) {
-    return;  // a limit may be known before its back end
+void FleetSoftState::expire_limits() {
+  if (!warmed_up_) {
+    return;  // the limit may be known before its backend
   }
   for (const fleet::BackendLimit& limit : limits_.all()) {
     if (registry_.find(limit.backend) == nullptr) {
@@ -284,100 +289,103 @@
   }
 }
 
-fleet::PeerNews FleetKnowledge::take_peer_news(uint64_t term, bool leads, TimePoint now) {
-  fleet::PeerNews news = std::exchange(untold_, {});
-  news.sender = options_.address;
-  news.zone = options_.zone;
-  news.term = term;
-  news.leads = leads;
-  news.number = ++last_number_;
-  news.loads = loads_.take_own_changes();
-  news.start_id = quotas_.start_id();
-  news.spending = quotas_.take_changed_sums();
-  news.answers = answers_.take_changes();
-  news.limits = limits_.take_changes();
-  news.crashes = crashes_.take_changes(now);
+fleet::PeerNews FleetSoftState::take_peer_update(uint64_t term, bool leads, TimePoint now) {
+  fleet::PeerNews peer_update = std::exchange(pending_update_, {});
+  peer_update.sender = options_.address;
+  peer_update.zone = options_.zone;
+  peer_update.term = term;
+  peer_update.leads = leads;
+  peer_update.number = ++last_update_number_;
+  peer_update.loads = loads_.take_own_changes();
+  peer_update.start_id = quotas_.start_id();
+  peer_update.spending = quotas_.take_changed_sums();
+  peer_update.answers = answers_.take_changes();
+  peer_update.limits = limits_.take_changes();
+  peer_update.crashes = crashes_.take_changes(now);
   for (const auto& [address, peer] : peers_) {
     if (!peer.complete) {
-      news.incomplete.push_back(address);
-      missing_records_.erase(address);  // the whole has them
+      peer_update.incomplete.push_back(address);
+      missing_record_keys_.erase(address);  // the requested full state contains them
     }
   }
-  for (const auto& [address, keys] : std::exchange(missing_records_, {})) {
-    news.questions.push_back({address, {keys.begin(), keys.end()}});
+  for (const auto& [address, keys] : std::exchange(missing_record_keys_, {})) {
+    peer_update.questions.push_back({address, {keys.begin(), keys.end()}});
   }
-  for (const std::string& id : std::exchange(untold_engines_, {})) {
+  for (const std::string& id : std::exchange(pending_engine_ids_, {})) {
     if (const fleet::BackendRecord* record = registry_.find(id); record != nullptr && leads) {
-      news.engines.push_back({id, record->loading, record->models});
+      peer_update.engines.push_back({id, record->loading, record->models});
     }
   }
-  return news;
+  return peer_update;
 }
 
-fleet::PeerNews FleetKnowledge::whole_for_peer(uint64_t term, bool leads, const fleet::NamedWeights& named,
-                                               TimePoint now) const {
-  fleet::PeerNews news;
-  news.sender = options_.address;
-  news.zone = options_.zone;
-  news.term = term;
-  news.leads = leads;
-  news.number = last_number_;
-  news.anew = true;
-  news.loads = loads_.own_sums();
-  news.start_id = quotas_.start_id();
-  news.spending = quotas_.sums();
-  news.answers = answers_.own();
-  news.limits = limits_.all();
-  news.crashes = crashes_.all(now);
-  news.windows = quotas_.windows(now);
-  news.quotas_age_ms = to_milliseconds(quotas_.age(now));
-  news.shared_parts = caches_.shared_parts();
-  for (const auto& [name, router] : followers_) {
-    news.routers.push_back({router, true});
+fleet::PeerNews FleetSoftState::full_state_for_peer(uint64_t term, bool leads,
+                                                    const fleet::NamedWeights& named, TimePoint now) const {
+  fleet::PeerNews peer_update;
+  peer_update.sender = options_.address;
+  peer_update.zone = options_.zone;
+  peer_update.term = term;
+  peer_update.leads = leads;
+  peer_update.number = last_update_number_;
+  peer_update.anew = true;
+  peer_update.loads = loads_.own_sums();
+  peer_update.start_id = quotas_.start_id();
+  peer_update.spending = quotas_.sums();
+  peer_update.answers = answers_.own();
+  peer_update.limits = limits_.all();
+  peer_update.crashes = crashes_.all(now);
+  peer_update.windows = quotas_.windows(now);
+  peer_update.quotas_age_ms = to_milliseconds(quotas_.age(now));
+  peer_update.shared_parts = caches_.shared_parts();
+  for (const auto& [name, router] : following_routers_) {
+    peer_update.routers.push_back({router, true});
   }
   for (const auto& [model, history] : named) {
     for (const auto& [version, since] : history.versions()) {
-      news.weights.push_back({model, version, to_milliseconds(now - since)});
+      peer_update.weights.push_back({model, version, to_milliseconds(now - since)});
     }
   }
   for (const std::string& holder : caches_.followed_by(options_.address)) {
-    news.caches.push_back(only_shared(caches_.whole(holder)));
+    peer_update.caches.push_back(filter_shared(caches_.whole(holder)));
   }
   for (const fleet::BackendRecord& record : registry_.records()) {
     if (registry_.heard_since(record.id, now - options_.registry.overdue_after)) {
-      news.heartbeats.push_back(record);
+      peer_update.heartbeats.push_back(record);
     }
     if (leads && record.loading) {
-      news.engines.push_back({record.id, record.loading, record.models});
+      peer_update.engines.push_back({record.id, record.loading, record.models});
     }
   }
-  return news;
+  return peer_update;
 }
 
-std::set<std::string> FleetKnowledge::take_whole_requests() { return std::exchange(whole_requests_, {}); }
+std::set<std::string> FleetSoftState::take_full_state_requests() {
+  return std::exchange(full_state_requests_, {});
+}
 
-std::vector<LiveMember> FleetKnowledge::live_members(TimePoint now) const {
+std::vector<LiveMember> FleetSoftState::live_members(TimePoint now) const {
   std::vector<LiveMember> members{{options_.address, options_.zone}};
   for (const auto& [address, peer] : peers_) {
-    if (now - peer.heard <= kPeerLease) {
+    if (now - peer.heard <= kPeerTimeout) {
       members.push_back({address, peer.zone});
     }
   }
   return members;
 }
 
-bool FleetKnowledge::is_home(const fleet::BackendRecord& record, TimePoint now) const {
-  if (!settled_ && record.zone != options_.zone) {
-    return false;  // nearer members may not have been heard yet
+bool FleetSoftState::is_home_member(const fleet::BackendRecord& record, TimePoint now) const {
+  if (!warmed_up_ && record.zone != options_.zone) {
+    return false;  // updates from nearer members may not have arrived yet
   }
   return follower_of(record.id, record.zone, live_members(now), options_.topology) == options_.address;
 }
 
-FollowedCache FleetKnowledge::claim_cache(const std::string& holder, const std::string& address, bool store) {
+FollowedCache FleetSoftState::claim_cache(const std::string& holder, const std::string& address, bool store) {
   const CacheMirror::Cache* known = caches_.find(holder);
-  const auto held = claimed_.find(holder);
-  const bool superseded = known != nullptr && held != claimed_.end() && known->follower != options_.address;
-  if (held != claimed_.end() && !superseded && held->second.address == address) {
+  const auto held = claimed_caches_.find(holder);
+  const bool superseded =
+      known != nullptr && held != claimed_caches_.end() && known->follower != options_.address;
+  if (held != claimed_caches_.end() && !superseded && held->second.address == address) {
     return held->second;
   }
   FollowedCache followed{holder, address, store, known == nullptr ? 1 : known->claim + 1, 0, 0};
@@ -393,7 +401,7 @@
   return followed;
 }
 
-std::vector<FollowedCache> FleetKnowledge::choose_caches(
+std::vector<FollowedCache> FleetSoftState::choose_caches(
     const std::map<std::string, std::string>& store_zones, TimePoint now) {
   if (cache_duty_.update(registry_.table(), store_zones, live_members(now), now)) {
     caches_.keep([this](const std::string& holder) { return cache_duty_.knows(holder); });
@@ -409,7 +417,7 @@
     chosen.emplace(holder, followed);
     list.push_back(followed);
   }
-  claimed_ = std::move(chosen);
+  claimed_caches_ = std::move(chosen);
   return list;
 }
 
--- a/src/control/fleet_knowledge.h
+++ b/src/control/fleet_knowledge.h
@@ -1,7 +1,8 @@
-/// What a control member knows of the running fleet besides the log: back ends, routers, loads, and what
-/// caches hold. It is soft state that heartbeats and events rebuild. Members tell one another the
-/// differences, once, so that all know the same and a change of leader loses nothing; each tells its own
-/// routers the differences since what they have. Free of I/O: messages and the time come in, messages go out.
+/// Soft state of a control member, kept outside the replicated log: backends, routers, loads, the contents of
+/// caches, quotas, rate limits and crashes. Heartbeats and events rebuild it. Members send one another each
+/// difference once, so that all have the same state and a change of leader loses nothing. Each member sends
+/// its own routers the differences since their last message. Free of I/O: callers pass in messages and the
+/// time and send the messages it returns.
 #pragma once
 
 #include <deque>
@@ -29,20 +30,21 @@
 
 namespace stoat::control {
 
-/// Who this member is.
-struct KnowledgeOptions {
+/// Identity and settings of this member.
+struct SoftStateOptions {
   std::string address;  ///< internal; identifies the member
   std::string zone;
   fleet::RegistryOptions registry = {};
   admission::QuotaTolerance quotas = {};
   uint64_t start_id = 1;  ///< differs at each start of the member
-  TimePoint started{0};
+  TimePoint started{0};   ///< when the member started
   topology::Topology topology = {};
 };
 
-/// How far a router has been told. Routers with equal cursors get equal messages.
+/// A router's position in the feed, as the revision of each table that it has received. Routers with equal
+/// cursors get equal messages.
 struct FeedCursor {
-  bool begun = false;
+  bool begun = false;  ///< the first message of the feed was sent
   uint64_t registry = 0;
   uint64_t loads = 0;
   uint64_t heads = 0;
@@ -61,63 +63,73 @@
   }
 };
 
-/// See the head of this file.
-class FleetKnowledge {
+/// See the top of this file.
+class FleetSoftState {
  public:
-  explicit FleetKnowledge(KnowledgeOptions options);
+  explicit FleetSoftState(SoftStateOptions options);
 
-  // What comes in to this member
-  /// Takes a heartbeat. Returns true when it is newer than what was known.
+  // Input of this member
+  /// Records a heartbeat. Returns true if it is newer than the last known one.
   bool on_heartbeat(const fleet::BackendRecord& record, TimePoint now);
-  /// Puts the quotas of a configuration in force.
+  /// Applies the quotas of a configuration.
   void configure_quotas(const std::vector<fleet::Tenant>& tenants, TimePoint now) {
     quotas_.configure(tenants, now);
   }
   /// Applies a replicated retirement.
   void retire(const std::string& id, fleet::BackendState state) { registry_.retire(id, state); }
-  /// A router tells its state; `follows`: it takes this member's feed. Returns true when that is new.
+  /// Records a router's status; `follows`: it receives this member's feed. Returns true if the status has
+  /// changed.
   bool on_router(const fleet::RouterRecord& router, bool follows, TimePoint now);
   void on_router_loads(const fleet::RouterLoads& loads, TimePoint now);
-  /// A router has closed its connection.
+  /// Removes a router that has closed its connection.
   void forget_router(const std::string& name);
-  /// A router has not been heard for some time: it is down or cut off, and then serves for a while yet.
-  void silence_router(const std::string& name, TimePoint now);
+  /// Removes a router that has been silent for some time: it is down, or it is cut off and continues to serve
+  /// for a while.
+  void on_router_silent(const std::string& name, TimePoint now);
   void on_placements(const std::vector<fleet::ChainPlacement>& placements);
   void on_cache_changes(const std::vector<fleet::CacheChanges>& changes);
-  /// The leader announces that an engine loads new weights, or no longer does.
+  /// On the leader: records whether an engine is loading new weights.
   void set_loading(const std::string& id, bool loading);
-  /// The leader has seen the version of an engine's weights.
+  /// On the leader: records the version of an engine's weights.
   void set_version(const std::string& id, const std::string& model, uint64_t version);
-  /// On a change of leader: no engine is known to load.
+  /// On a new leader: marks all engines as not loading.
   void clear_loading();
-  /// A router that follows this member has told what it does about rollouts.
-  void on_applied(const fleet::RouterRollouts& applied) { untold_.applied.push_back(applied); }
-  /// The leader tells how old the orders are that are under way.
-  void tell_rollout_ages(std::vector<fleet::RolloutAge> ages) { untold_.rollout_ages = std::move(ages); }
-  /// Drops what was counted under other orders.
-  void keep_answers(const std::set<uint64_t>& rollouts) { answers_.keep(rollouts); }
-  /// Takes another member's news.
-  void on_peer_news(const fleet::PeerNews& news, TimePoint now);
-  /// Lets what has been silent for long go. To be called a few times a second.
+  /// Queues, for the other members, which rollout steps a router that follows this member has applied.
+  void add_applied_rollouts(const fleet::RouterRollouts& applied) {
+    pending_update_.applied.push_back(applied);
+  }
+  /// On the leader: queues the ages of the rollouts in progress for the other members.
+  void announce_rollout_ages(std::vector<fleet::RolloutAge> ages) {
+    pending_update_.rollout_ages = std::move(ages);
+  }
+  /// Drops the answer counts of all other rollouts.
+  void retain_answers(const std::set<uint64_t>& rollouts) { answers_.keep(rollouts); }
+  /// Applies an update from another member.
+  void on_peer_update(const fleet::PeerNews& peer_update, TimePoint now);
+  /// Expires everything that has been silent for too long. Must be called a few times per second.
   void expire(TimePoint now);
 
-  // What goes out to the other members
-  /// The differences since the last call, one message for all members. One that is empty need not be sent.
-  fleet::PeerNews take_peer_news(uint64_t term, bool leads, TimePoint now);
-  /// The last one of take_peer_news() was not sent.
-  void give_back_number() { --last_number_; }
-  /// All that this member is the source of, for one that lacks it. To be sent right after take_peer_news().
-  fleet::PeerNews whole_for_peer(uint64_t term, bool leads, const fleet::NamedWeights& named,
-                                 TimePoint now) const;
-  /// Members that have asked for the whole since the last call.
-  std::set<std::string> take_whole_requests();
-
-  /// The caches that this member is to follow, given the stores of the configuration in force.
+  // Output to the other members
+  /// Returns the differences since the last call as one message for all members. An empty one need not be
+  /// sent.
+  fleet::PeerNews take_peer_update(uint64_t term, bool leads, TimePoint now);
+  /// Releases the number of the last take_peer_update(), whose message was not sent.
+  void release_last_number() { --last_update_number_; }
+  /// Everything that this member is the source of, for members that lack some of it. Must be sent right after
+  /// take_peer_update().
+  fleet::PeerNews full_state_for_peer(uint64_t term, bool leads, const fleet::NamedWeights& named,
+                                      TimePoint now) const;
+  /// Addresses of the members that have requested the full state since the last call.
+  std::set<std::string> take_full_state_requests();
+
+  /// The caches whose events this member must follow. `store_zones`: zones of the KV stores in the current
+  /// configuration, by address.
   std::vector<FollowedCache> choose_caches(const std::map<std::string, std::string>& store_zones,
                                            TimePoint now);
 
-  /// The next piece for a router at `cursor`, which moves on. Empty (FleetNews::empty) when nothing is new.
-  fleet::FleetNews next_news(FeedCursor& cursor, TimePoint now) const;
+  /// Returns the next message for routers at `cursor` and advances it. The message is empty
+  /// (FleetNews::empty) if there is nothing new.
+  fleet::FleetNews next_feed_message(FeedCursor& cursor, TimePoint now) const;
 
   const fleet::BackendRegistry& registry() const { return registry_; }
   const RouterDirectory& routers() const { return routers_; }
@@ -125,50 +137,52 @@
   const LimitBook& limits() const { return limits_; }
   const CacheMirror& caches() const { return caches_; }
   const admission::QuotaBook& quotas() const { return quotas_; }
-  /// Tenants that began or ceased to be metered since the last call.
+  /// Tenants for which metering has started or stopped since the last call.
   std::vector<fleet::QuotaLevel> take_quota_changes() { return quotas_.take_changes(); }
-  /// The zone of another member; empty: it has not been heard.
+  /// The zone of another member; empty if no update from it has arrived.
   std::string zone_of_peer(const std::string& address) const {
     const auto found = peers_.find(address);
     return found == peers_.end() ? "" : found->second.zone;
   }
-  /// True when heartbeats of a back end should come to this member.
-  bool is_home(const fleet::BackendRecord& record, TimePoint now) const;
+  /// True if this member is the one that a backend's heartbeats should go to.
+  bool is_home_member(const fleet::BackendRecord& record, TimePoint now) const;
   const rollout::AnswerBook& answers() const { return answers_; }
-  /// This member and those that are heard.
+  /// This member and the others that have sent an update recently.
   std::vector<LiveMember> live_members(TimePoint now) const;
 
  private:
-  /// What is known of another member.
+  /// State of another member.
   struct Peer {
     std::string zone;
-    TimePoint heard{0};
-    uint64_t number = 0;    ///< of its last news
-    bool complete = false;  ///< no news since its last whole are missing
+    TimePoint heard{0};        ///< when its last update arrived
+    uint64_t last_number = 0;  ///< of its last update
+    bool complete = false;     ///< its full state arrived, and every update since
   };
-  /// The part of the routers whose spending of quotas can't come to this member now.
+  /// Fraction of the routers whose quota spending cannot reach this member now.
   double unheard_share(TimePoint now) const;
-  /// Takes a peer's marks, and answers its questions for records.
-  void take_marks(const fleet::PeerNews& news, TimePoint now);
-  /// Without the parts that are of no use to the routers of other members.
-  fleet::CacheChanges only_shared(fleet::CacheChanges changes) const;
-  /// Tells which of these parts the caches hold that this member follows: the others did not hear of them.
-  void tell_shared(const std::vector<uint64_t>& parts);
+  /// Applies a peer's heartbeat marks and answers its requests for backend records.
+  void apply_heartbeat_marks(const fleet::PeerNews& peer_update, TimePoint now);
+  /// Removes the prompt parts that are not shared: they are of no use to routers of other members.
+  fleet::CacheChanges filter_shared(fleet::CacheChanges changes) const;
+  /// Queues, for the other members, which of these parts are in the caches that this member follows: the
+  /// parts have only now become shared, so they were not sent before.
+  void announce_shared_parts(const std::vector<uint64_t>& parts);
   void add_placement(const fleet::ChainPlacement& placement);
-  void apply_engine_notes(const fleet::PeerNews& news);
+  void apply_engine_notes(const fleet::PeerNews& peer_update);
   FollowedCache claim_cache(const std::string& holder, const std::string& address, bool store);
-  bool add_backends(FeedCursor& cursor, fleet::FleetNews& news) const;
-  void add_loads(FeedCursor& cursor, fleet::FleetNews& news) const;
-  void add_caches(FeedCursor& cursor, fleet::FleetNews& news) const;
-  void add_placements(FeedCursor& cursor, fleet::FleetNews& news) const;
-  void add_quotas(FeedCursor& cursor, fleet::FleetNews& news) const;
-  void add_limits(FeedCursor& cursor, fleet::FleetNews& news) const;
-  bool add_crashes(FeedCursor& cursor, fleet::FleetNews& news, TimePoint now) const;
-  /// Lets the limits of back ends go that are known no more.
+  bool add_backends(FeedCursor& cursor, fleet::FleetNews& message) const;
+  void add_loads(FeedCursor& cursor, fleet::FleetNews& message) const;
+  void add_caches(FeedCursor& cursor, fleet::FleetNews& message) const;
+  void add_placements(FeedCursor& cursor, fleet::FleetNews& message) const;
+  void add_quotas(FeedCursor& cursor, fleet::FleetNews& message) const;
+  void add_limits(FeedCursor& cursor, fleet::FleetNews& message) const;
+  bool add_crashes(FeedCursor& cursor, fleet::FleetNews& message, TimePoint now) const;
+  /// Removes the rate limits of backends that are no longer registered.
   void expire_limits();
-  bool reaches(const FeedCursor& cursor) const;
+  /// True if the differences since `cursor` are still known; otherwise the feed must start anew.
+  bool can_resume(const FeedCursor& cursor) const;
 
-  KnowledgeOptions options_;
+  SoftStateOptions options_;
   fleet::BackendRegistry registry_;
   RouterDirectory routers_;
   LoadBook loads_;
@@ -177,22 +191,26 @@
   admission::QuotaBook quotas_;
   rollout::AnswerBook answers_;
   CacheDuty cache_duty_;
-  std::map<std::string, TimePoint> silent_routers_;  ///< own followers that went silent, and when
+  /// Routers that followed this member, and when they fell silent.
+  std::map<std::string, TimePoint> silent_routers_;
   CacheMirror caches_;
-  std::map<std::string, fleet::RouterRecord> followers_;  ///< routers that take this member's feed
-  std::map<std::string, FollowedCache> claimed_;          ///< caches that this member follows, by holder
-  std::map<std::string, Peer> peers_;                     ///< by internal address
-  std::set<std::string> whole_requests_;
-  /// Back ends of which a peer told marks only, by the peer's address: they are to be asked for.
-  std::map<std::string, std::set<uint64_t>> missing_records_;
-
-  std::deque<fleet::ChainPlacement> placements_;  ///< the newest ones
-  uint64_t placements_dropped_ = 0;               ///< older ones than those
-  bool settled_ = false;  ///< every back end that lives has had time to be heard since the start
-  uint64_t last_number_ = 0;
-  fleet::PeerNews untold_;
-  std::set<std::string> untold_engines_;  ///< whose notes are to be told
-  uint64_t notes_term_ = 0;               ///< of the leader whose notes were taken last
+  /// Routers that receive the feed of this member, by name.
+  std::map<std::string, fleet::RouterRecord> following_routers_;
+  /// Caches that this member follows, by holder.
+  std::map<std::string, FollowedCache> claimed_caches_;
+  std::map<std::string, Peer> peers_;  ///< by internal address
+  std::set<std::string> full_state_requests_;
+  /// Keys of backends for which a peer has sent marks but no record, by the peer's address. Their records are
+  /// requested with the next update.
+  std::map<std::string, std::set<uint64_t>> missing_record_keys_;
+
+  std::deque<fleet::ChainPlacement> placements_;  ///< the newest ones, oldest first
+  uint64_t dropped_placements_ = 0;               ///< number of older ones
+  bool warmed_up_ = false;  ///< since the start, every live backend has had time to send a heartbeat
+  uint64_t last_update_number_ = 0;
+  fleet::PeerNews pending_update_;            ///< parts of the next update to the other members
+  std::set<std::string> pending_engine_ids_;  ///< engines whose notes the leader sends with the next update
+  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose engine notes were last applied
 };
 
 }  // namespace stoat::control
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -1,4 +1,5 @@
-/// FleetServer: what control members tell one another besides the log, and the caches that they share out.
+/// FleetServer: soft state exchanged between members outside the log, confirmations of the leader, and the
+/// caches that the members divide among themselves.
 #include "src/control/fleet_server.h"
 #include "src/events/fleet_events.h"
 
@@ -6,14 +7,14 @@
 
 namespace {
 
-/// Members hear from one another at least so often.
-constexpr Duration kExchangeInterval = 200ms;
-/// A follower asks the leader for its last confirmation so often; without a fresh one, at the shorter
-/// interval.
-constexpr Duration kQuestionInterval = 100ms;
-constexpr Duration kFirstQuestionInterval = 20ms;
-/// A confirmation of this age is fresh.
-constexpr Duration kFreshConfirmation = 500ms;
+/// Members send one another an update at least this often.
+constexpr Duration kMaxPeerUpdateInterval = 200ms;
+/// Intervals at which a follower asks the leader for its last confirmation by a quorum; the shorter one
+/// applies while the follower has no recent confirmation.
+constexpr Duration kConfirmationRequestInterval = 100ms;
+constexpr Duration kUnconfirmedRequestInterval = 20ms;
+/// A confirmation younger than this is recent.
+constexpr Duration kMaxConfirmationAge = 500ms;
 
 }  // namespace
 
@@ -21,17 +22,17 @@
   const TimePoint now = loop_.now();
   const bool leads = core_->replica().leads();
   const uint64_t term = core_->replica().term();
-  const fleet::PeerNews news = knowledge_.take_peer_news(term, leads, now);
-  if (news.empty() && now < next_exchange_) {
-    knowledge_.give_back_number();
+  const fleet::PeerNews peer_update = soft_state_.take_peer_update(term, leads, now);
+  if (peer_update.empty() && now < next_peer_update_) {
+    soft_state_.release_last_number();
     return;
   }
-  next_exchange_ = now + kExchangeInterval;
-  send_to_members(wire::make_frame(news));
-  for (const std::string& address : knowledge_.take_whole_requests()) {
+  next_peer_update_ = now + kMaxPeerUpdateInterval;
+  send_to_members(wire::make_frame(peer_update));
+  for (const std::string& address : soft_state_.take_full_state_requests()) {
     peer_feeds_.on_request(address, now);
   }
-  send_wholes(term, leads);
+  send_full_states(term, leads);
 }
 
 std::vector<std::string> FleetServer::other_members() const {
@@ -44,20 +45,20 @@
   return addresses;
 }
 
-void FleetServer::send_wholes(uint64_t term, bool leads) {
+void FleetServer::send_full_states(uint64_t term, bool leads) {
   const TimePoint now = loop_.now();
-  wire::Frame whole;  // the same for all who are owed it
+  wire::Frame full_state;  // encoded once for all members that need it
   for (const std::string& address : other_members()) {
     const ChannelPtr channel = bulk_channel_to(address);
     if (channel == nullptr || !peer_feeds_.whole_due(address, channel->unsent_bytes(), now)) {
       continue;
     }
-    if (whole.empty()) {
-      whole = wire::make_frame(knowledge_.whole_for_peer(term, leads, named_, now));
+    if (full_state.empty()) {
+      full_state = wire::make_frame(soft_state_.full_state_for_peer(term, leads, named_weights_, now));
     }
-    channel->send_frame(whole);
-    peer_feeds_.on_whole_sent(address, whole.bytes.size(), now);
-    log_.event(events::WholeSent{address, whole.bytes.size()});
+    channel->send_frame(full_state);
+    peer_feeds_.on_whole_sent(address, full_state.bytes.size(), now);
+    log_.event(events::WholeSent{address, full_state.bytes.size()});
   }
 }
 
@@ -70,25 +71,25 @@
   }
 }
 
-void FleetServer::on_peer_news(const fleet::PeerNews& news) {
+void FleetServer::on_peer_update(const fleet::PeerNews& peer_update) {
   const TimePoint now = loop_.now();
-  measure_peer(news.sender, news.zone);
-  knowledge_.on_peer_news(news, now);
-  for (const fleet::RouterRollouts& entry : news.applied) {
-    confirmations_.note(entry.router, entry.applied, now);
-  }
-  adopt_ages(news);
-  for (const fleet::NamedVersion& named : news.weights) {
-    const auto known = named_.find(named.model);
-    if (known != named_.end() && known->second.versions().count(named.version) > 0) {
+  meter_peer_traffic(peer_update.sender, peer_update.zone);
+  soft_state_.on_peer_update(peer_update, now);
+  for (const fleet::RouterRollouts& entry : peer_update.applied) {
+    router_confirmations_.note(entry.router, entry.applied, now);
+  }
+  adopt_rollout_ages(peer_update);
+  for (const fleet::NamedVersion& named : peer_update.weights) {
+    const auto known = named_weights_.find(named.model);
+    if (known != named_weights_.end() && known->second.versions().count(named.version) > 0) {
       known->second.note(named.version, now - Duration(1000 * named.age_ms));
     }
   }
 }
 
-void FleetServer::measure_peer(const std::string& address, const std::string& zone) {
+void FleetServer::meter_peer_traffic(const std::string& address, const std::string& zone) {
   const topology::Distance distance = settings_.topology.distance(settings_.zone, zone);
-  for (const auto* channels : {&peers_, &bulk_peers_}) {
+  for (const auto* channels : {&peer_channels_, &bulk_channels_}) {
     const auto found = channels->find(address);
     if (found != channels->end() && found->second != nullptr) {
       found->second->set_meter(traffic_, distance);
@@ -102,14 +103,14 @@
   }
 }
 
-void FleetServer::ask_for_confirmation() {
+void FleetServer::request_confirmation() {
   const TimePoint now = loop_.now();
-  if (now < next_question_ || core_->replica().leads()) {
+  if (now < next_confirmation_request_ || core_->replica().leads()) {
     return;
   }
   const auto& newest = questions_.newest();
-  const bool fresh = newest && now - newest->at < kFreshConfirmation;
-  next_question_ = now + (fresh ? kQuestionInterval : kFirstQuestionInterval);
+  const bool fresh = newest && now - newest->at < kMaxConfirmationAge;
+  next_confirmation_request_ = now + (fresh ? kConfirmationRequestInterval : kUnconfirmedRequestInterval);
   if (const ChannelPtr leader = leader_channel()) {
     leader->send(questions_.ask(now));
   }
@@ -126,7 +127,7 @@
 
 void FleetServer::on_confirmation_answer(const fleet::ConfirmationAnswer& answer) {
   questions_.on_answer(answer);
-  note_confirmation();
+  track_confirmation();
 }
 
 std::optional<LeaderConfirmation> FleetServer::confirmation() const {
@@ -140,14 +141,14 @@
   return LeaderConfirmation{loop_.now() - Duration(1000 * age_ms), configuration_version()};
 }
 
-void FleetServer::note_confirmation() {
+void FleetServer::track_confirmation() {
   const auto newest = confirmation();
   if (newest) {
-    last_confirmed_ = std::max(last_confirmed_.value_or(newest->at), newest->at);
+    leader_confirmed_at_ = std::max(leader_confirmed_at_.value_or(newest->at), newest->at);
   }
-  const bool confirmed = newest && loop_.now() - newest->at < kFreshConfirmation;
+  const bool confirmed = newest && loop_.now() - newest->at < kMaxConfirmationAge;
   if (confirmed && !was_confirmed_) {
-    push_to_routers();  // they wait for the key lease, after a restart for the configuration as well
+    push_to_routers();  // they wait for the key lease and, after a restart, for the configuration
   }
   was_confirmed_ = confirmed;
 }
@@ -159,18 +160,18 @@
       store_zones[service.store_address] = service.store_zone;
     }
   }
-  watch_.follow(knowledge_.choose_caches(store_zones, loop_.now()));
+  cache_watch_.follow(soft_state_.choose_caches(store_zones, loop_.now()));
 }
 
-void FleetServer::follow_caches() {
-  watch_.poll(loop_.now());
-  const std::vector<fleet::CacheChanges> changes = watch_.take_changes();
+void FleetServer::poll_followed_caches() {
+  cache_watch_.poll(loop_.now());
+  const std::vector<fleet::CacheChanges> changes = cache_watch_.take_changes();
   for (const fleet::CacheChanges& change : changes) {
     if (change.anew || !change.followed) {
       log_.event(events::CacheFollowed{change.holder, change.followed});
     }
   }
-  knowledge_.on_cache_changes(changes);
+  soft_state_.on_cache_changes(changes);
 }
 
 }  // namespace stoat::control
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -10,20 +10,21 @@
 
 namespace {
 
-constexpr Duration kTick = 10ms;
+constexpr Duration kTickInterval = 10ms;
 constexpr Duration kJoinInterval = 150ms;
-/// Changes of the fleet are gathered for so long before they go to members and routers.
+/// Changes are batched for this long before they are sent to members and routers.
 constexpr Duration kFeedInterval = 50ms;
-constexpr Duration kKnowledgeInterval = 100ms;
-constexpr Duration kCacheInterval = 30ms;
-constexpr Duration kRolloutInterval = 20ms;
+constexpr Duration kSoftStateInterval = 100ms;
+constexpr Duration kCachePollInterval = 30ms;
+constexpr Duration kWeightRolloutInterval = 20ms;
 constexpr Duration kServiceRolloutInterval = 100ms;
-/// A router that reaches no member honours keys for about so long (gateway::ControlLinkOptions::key_lease).
-constexpr Duration kAloneTime = 5s;
-constexpr Duration kStopGrace = 300ms;
-constexpr Duration kTrafficInterval = 10s;  ///< of lines in the log
-/// From a back end's heartbeat until the members that it did not come to have it.
-constexpr Duration kHeartbeatDelay = 200ms;
+/// A router that cannot reach any member continues to accept API keys for about this long
+/// (gateway::ControlLinkOptions::key_lease).
+constexpr Duration kIsolatedServeTime = 5s;
+constexpr Duration kStopGracePeriod = 300ms;
+constexpr Duration kTrafficLogInterval = 10s;  ///< between log lines about traffic
+/// Maximum delay until a backend's heartbeat is known to the members that did not receive it directly.
+constexpr Duration kHeartbeatPropagationDelay = 200ms;
 
 }  // namespace
 
@@ -46,11 +47,12 @@
   settings.core.replica.heartbeat_interval = Duration(1000 * reader.integer("heartbeat_ms", 50, 5, 10000));
   settings.registry.lost_after = Duration(1000 * reader.integer("backend_lost_ms", 4000, 100, 600000));
   settings.registry.overdue_after =
-      Duration(1000 * reader.integer("backend_heartbeat_ms", 1200, 10, 600000)) + kHeartbeatDelay;
+      Duration(1000 * reader.integer("backend_heartbeat_ms", 1200, 10, 600000)) + kHeartbeatPropagationDelay;
   settings.quotas = admission::read_quota_tolerance(reader);
   settings.service_rollout = rollout::planner_options(rollout::read_exposure_bounds(reader));
   settings.holder_lease = Duration(1000 * reader.integer("holder_lease_ms", 3000, 0, 600000));
-  // Versions that follow soon are then loaded in one: a load costs an engine its cache.
+  // The delay lets versions announced in quick succession be loaded as one: loading discards the engine's
+  // cache.
   settings.rollout.start_delay = Duration(1000 * reader.integer("weights_limit_ms", 8000, 0, 3600000)) / 4;
   settings.rollout.load_share = reader.number("load_share", settings.rollout.load_share, 0.001, 1.0);
   return settings;
@@ -59,34 +61,34 @@
 FleetServer::FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders)
     : loop_(loop),
       settings_(std::move(settings)),
-      orders_(orders),
+      engine_orders_(orders),
       files_(settings_.data_folder),
       store_(files_),
-      knowledge_({to_string(settings_.internal), settings_.zone, settings_.registry, settings_.quotas,
-                  seed_from_device(), loop.now(), settings_.topology}),
-      watch_(orders),
-      rollout_(settings_.rollout),
-      confirmations_(kAloneTime) {
+      soft_state_({to_string(settings_.internal), settings_.zone, settings_.registry, settings_.quotas,
+                   seed_from_device(), loop.now(), settings_.topology}),
+      cache_watch_(orders),
+      weight_rollout_(settings_.rollout),
+      router_confirmations_(kIsolatedServeTime) {
   start_core(restore());
   if (core_->replica().last_index() == 0 && settings_.first_start && !settings_.seeds.empty() &&
       settings_.seeds.front() == settings_.internal) {
-    found();
+    bootstrap();
   }
   channels_ = std::make_unique<wire::ChannelServer>(
       loop, settings_.internal,
       [this](const ChannelPtr& channel, wire::Message message) { on_message(channel, std::move(message)); },
       [this](const ChannelPtr& channel) { on_router_closed(channel); });
-  loop.every(kTick, [this] { tick(); });
+  loop.every(kTickInterval, [this] { tick(); });
   loop.every(kJoinInterval, [this] { ask_to_join(); });
   loop.every(kFeedInterval, [this] {
     exchange_with_peers();
     feed_routers();
   });
-  loop.every(kKnowledgeInterval, [this] { keep_knowledge(); });
-  loop.every(kCacheInterval, [this] { follow_caches(); });
-  loop.every(kRolloutInterval, [this] { roll_out_weights(); });
-  loop.every(kTrafficInterval, [this] { log_traffic(); });
-  loop.every(kServiceRolloutInterval, [this] { drive_rollouts(); });
+  loop.every(kSoftStateInterval, [this] { maintain_soft_state(); });
+  loop.every(kCachePollInterval, [this] { poll_followed_caches(); });
+  loop.every(kWeightRolloutInterval, [this] { advance_weight_rollout(); });
+  loop.every(kTrafficLogInterval, [this] { log_traffic(); });
+  loop.every(kServiceRolloutInterval, [this] { advance_service_rollouts(); });
   log_.info("started", {{"name", settings_.name},
                         {"internal", to_string(settings_.internal)},
                         {"identity", to_hex(identity_.id)},
@@ -95,8 +97,8 @@
 }
 
 FleetServer::~FleetServer() {
-  wire::close_all(peers_);
-  wire::close_all(bulk_peers_);
+  wire::close_all(peer_channels_);
+  wire::close_all(bulk_channels_);
 }
 
 consensus::RestoredState FleetServer::restore() {
@@ -117,11 +119,11 @@
         loop_.stop();
       });
   for (const fleet::RetiredBackend& retired : core_->state().fleet().retired()) {
-    knowledge_.retire(retired.id, retired.state);
+    soft_state_.retire(retired.id, retired.state);
   }
 }
 
-void FleetServer::found() {
+void FleetServer::bootstrap() {
   consensus::Snapshot first;
   first.index = 1;
   first.term = 1;
@@ -130,21 +132,21 @@
   consensus::RestoredState restored;
   restored.snapshot = first;
   restored.hard_state.term = 1;
-  driver_.reset();  // its thread must not write at the same time
+  driver_.reset();  // its thread must not write to the store concurrently
   const auto written = store_.write_snapshot(wire::encode(first), restored.hard_state, {});
   if (!written) {
-    throw std::runtime_error("cannot write the first state: " + written.error().message);
+    throw std::runtime_error("cannot write the initial state: " + written.error().message);
   }
   log_.info("founded the fleet");
   start_core(restored);
 }
 
 FleetServer::ChannelPtr FleetServer::channel_to(const std::string& address) {
-  return open_channel(peers_, address);
+  return open_channel(peer_channels_, address);
 }
 
 FleetServer::ChannelPtr FleetServer::bulk_channel_to(const std::string& address) {
-  return open_channel(bulk_peers_, address);
+  return open_channel(bulk_channels_, address);
 }
 
 FleetServer::ChannelPtr FleetServer::open_channel(std::map<std::string, ChannelPtr>& channels,
@@ -161,8 +163,9 @@
       loop_, endpoint,
       [this](const ChannelPtr& from, wire::Message message) { on_message(from, std::move(message)); },
       [](const ChannelPtr&) {});
-  // Its zone is known from its first news.
-  channel->set_meter(traffic_, settings_.topology.distance(settings_.zone, knowledge_.zone_of_peer(address)));
+  // The zone is unknown until the first update from this member.
+  channel->set_meter(traffic_,
+                     settings_.topology.distance(settings_.zone, soft_state_.zone_of_peer(address)));
   return channel;
 }
 
@@ -185,9 +188,10 @@
   if (std::any_of(members.begin(), members.end(), send_to)) {
     return;
   }
-  // Answers to a leader that is not in this member's list yet go back on the connection they came from.
-  const auto back = peers_.find("id " + to_hex(message.to));
-  if (back != peers_.end() && back->second != nullptr) {
+  // Replies to a leader that is not yet in this member's list go back on the connection the request came
+  // from.
+  const auto back = peer_channels_.find("id " + to_hex(message.to));
+  if (back != peer_channels_.end() && back->second != nullptr) {
     back->second->send(wire::PeerMessage{message});
   }
 }
@@ -195,7 +199,7 @@
 void FleetServer::on_message(const ChannelPtr& channel, wire::Message message) {
   const TimePoint now = loop_.now();
   if (auto* peer = std::get_if<wire::PeerMessage>(&message.value)) {
-    peers_["id " + to_hex(peer->message.from)] = channel;
+    peer_channels_["id " + to_hex(peer->message.from)] = channel;
     core_->on_peer(peer->message, now);
     driver_->drive();
   } else if (auto* status = std::get_if<fleet::RouterStatus>(&message.value)) {
@@ -205,9 +209,9 @@
   } else if (auto* permits = std::get_if<fleet::PermitQuestion>(&message.value)) {
     on_permit_question(channel, *permits);
   } else if (auto* placements = std::get_if<fleet::PlacementNews>(&message.value)) {
-    knowledge_.on_placements(placements->placements);
-  } else if (auto* news = std::get_if<fleet::PeerNews>(&message.value)) {
-    on_peer_news(*news);
+    soft_state_.on_placements(placements->placements);
+  } else if (auto* peer_update = std::get_if<fleet::PeerNews>(&message.value)) {
+    on_peer_update(*peer_update);
   } else if (auto* question = std::get_if<fleet::ConfirmationQuestion>(&message.value)) {
     on_confirmation_question(channel, *question);
   } else if (auto* confirmed = std::get_if<fleet::ConfirmationAnswer>(&message.value)) {
@@ -215,14 +219,16 @@
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
     on_control_call(channel, std::move(*call));
   } else if (auto* answer = std::get_if<wire::ControlAnswer>(&message.value)) {
-    const bool kept = answer->status == wire::CallStatus::kNotLeader && forwarded_.holds(answer->call_id);
+    const bool kept =
+        answer->status == wire::CallStatus::kNotLeader && forwarded_calls_.holds(answer->call_id);
     if (!kept) {
-      finish(answer->call_id, {answer->status == wire::CallStatus::kDone, answer->result});
+      finish_call(answer->call_id, {answer->status == wire::CallStatus::kDone, answer->result});
     }
   } else if (auto* read = std::get_if<fleet::ConfirmedRead>(&message.value)) {
     on_confirmed_read(channel, *read);
   } else if (auto* read_answer = std::get_if<fleet::ConfirmedReadAnswer>(&message.value)) {
-    finish(read_answer->call_id, {read_answer->confirmed, {}, read_answer->source, read_answer->rollout});
+    finish_call(read_answer->call_id,
+                {read_answer->confirmed, {}, read_answer->source, read_answer->rollout});
   } else if (auto* join = std::get_if<wire::JoinRequest>(&message.value)) {
     on_join(channel, *join);
   } else if (auto* addresses = std::get_if<fleet::MemberAddresses>(&message.value)) {
@@ -271,19 +277,19 @@
   core_->tick(now);
   driver_->drive();
   const bool leads = core_->replica().leads();
-  if (leads != led_) {
-    led_ = leads;
+  if (leads != was_leader_) {
+    was_leader_ = leads;
     leader_since_ = now;
-    rollout_.reset();
+    weight_rollout_.reset();
     if (leads) {
-      knowledge_.clear_loading();
-      permits_.begin(now);
+      soft_state_.clear_loading();
+      permit_book_.begin(now);
     }
     log_.info(leads ? "leads" : "leads no more", {{"term", core_->replica().term()}});
     metrics_.set("stoat_control_leads", leads ? 1 : 0);
   }
-  ask_for_confirmation();
-  note_confirmation();
+  request_confirmation();
+  track_confirmation();
   send_forwarded();
   expire_calls();
 }
@@ -296,7 +302,7 @@
   log_.info("stopping", {{"leads", core_->replica().leads()}});
   core_->replica().hand_over(loop_.now());
   driver_->drive();
-  loop_.after(kStopGrace, [this] { loop_.stop(); });
+  loop_.after(kStopGracePeriod, [this] { loop_.stop(); });
 }
 
 }  // namespace stoat::control
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -1,6 +1,6 @@
-/// A control member for fleets that keep themselves: the replicated log with self-healing membership, the
-/// registry of back ends, the routers that follow it, and the rollout of weights. The calls of operators,
-/// back ends and callers come in through its public methods; their form on the wire is the caller's.
+/// A member of the replicated control plane: it runs the replicated log with self-healing membership, tracks
+/// backends and routers, and drives the rollouts of model weights and of services. Requests from operators,
+/// backends and clients arrive through its public methods; the caller defines their wire format.
 #pragma once
 
 #include <deque>
@@ -41,114 +41,118 @@
   std::string name;
   std::string zone;
   std::string region;
-  topology::Topology topology;  ///< of the zones that the settings list
-  Endpoint internal;            ///< of the protocol between the system's own processes
-  std::vector<Endpoint> seeds;  ///< internal endpoints of members to ask at the start
+  topology::Topology topology;  ///< of the zones listed in the settings
+  Endpoint internal;            ///< listens for the protocol between routers and control members
+  std::vector<Endpoint> seeds;  ///< internal endpoints of members to contact at startup
   std::string data_folder;
-  bool first_start = false;  ///< the fleet starts for the first time: the first seed founds it
+  bool first_start = false;  ///< the fleet is new: the member at the first seed endpoint bootstraps it
   ControlOptions core;
   RolloutOptions rollout;
   rollout::PlannerOptions service_rollout;
   rollout::JudgeOptions judge;
   fleet::RegistryOptions registry;
   admission::QuotaTolerance quotas;
-  Duration holder_lease = 3s;  ///< how long a former holder's orders keep a new one waiting
+  /// How long a new leader waits before it sends weight orders, because a former leader may still send some.
+  Duration holder_lease = 3s;
 };
 
-/// What a member knows of an order besides what the log has.
+/// Local state of a service rollout that is not in the replicated log.
 struct RolloutProgress {
   TimePoint ordered_at{0};
-  TimePoint step_at{0};
-  TimePoint others_seen{0};  ///< when a back end of another version was last there
+  TimePoint step_started_at{0};
+  TimePoint others_seen_at{0};  ///< when a serving backend of another version was last registered
   rollout::VersionJudge judge;
-  rollout::AnswerTable judged;  ///< the sums that the judge has taken
-  bool proposed = false;        ///< a step is on its way
-  TimePoint proposed_at{0};
+  rollout::AnswerTable judged_sums;  ///< answer sums already passed to `judge`
+  bool step_proposed = false;        ///< a step was proposed and has not been seen to commit
+  TimePoint step_proposed_at{0};
 };
 
-/// Reads the settings of a fleet control member.
+/// Reads the settings of a control member. Invalid values are reported as findings of `reader`.
 FleetControlSettings read_fleet_control_settings(SettingsReader& reader);
 
-/// What a back end is told when a member has taken its heartbeat.
+/// Where a backend should send its later heartbeats; part of the reply to each one.
 enum class HeartbeatAdvice : uint8_t {
-  kNone,
-  kStay,  ///< this member is the nearest: let later heartbeats come here
-  kMove,  ///< this member is cut off from the leader: tell another one
+  kNone,      ///< no preference
+  kStayHere,  ///< to this member: it is the nearest
+  kMoveAway,  ///< to another member: this one is cut off from the leader
 };
 
-/// See the head of this file.
+/// See the top of this file.
 class FleetServer {
  public:
-  /// Throws std::runtime_error when the disk's state is damaged or an address can't be bound.
+  /// Throws std::runtime_error if the state on disk is damaged or cannot be written, or if the internal
+  /// endpoint cannot be bound.
   FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders);
   ~FleetServer();
   FleetServer(const FleetServer&) = delete;
   FleetServer& operator=(const FleetServer&) = delete;
 
-  /// Called with true once a command is durable and applied; with false when that is not known.
-  using Committed = std::function<void(bool)>;
-  /// Proposes a command, at the leader wherever it is.
-  void commit(Command command, Committed on_done);
-  /// Gives the operator's document of the newest configuration; nullopt when this can't be confirmed.
+  /// Called with true once a command is durable and applied; with false if that cannot be confirmed.
+  using CommitCallback = std::function<void(bool)>;
+  /// Proposes a command; forwards it if another member is the leader.
+  void commit(Command command, CommitCallback on_done);
+  /// Reads the newest configuration as the operator's original document; nullopt if no leader can confirm it
+  /// or there is no configuration yet.
   void read_configuration(std::function<void(std::optional<std::string>)> on_read);
-  /// How an order ended; nullopt when that is not known.
-  using OrderTaken = std::function<void(const std::optional<CommandResult>&)>;
-  /// Orders the move of a service to another version.
-  void order_rollout(fleet::StartServiceRollout order, OrderTaken on_taken);
-  /// A service's last rollout, if there is one; nullopt when it can't be confirmed.
-  using RolloutRead = std::function<void(const std::optional<std::vector<fleet::ServiceRollout>>&)>;
-  void read_rollout(const std::string& service, RolloutRead on_read);
-  /// True when the newest configuration that this member has names a service with back ends.
+  /// Result of a rollout order; nullopt if the outcome is unknown.
+  using RolloutOrderCallback = std::function<void(const std::optional<CommandResult>&)>;
+  /// Starts a rollout of a service to another version.
+  void order_rollout(fleet::StartServiceRollout order, RolloutOrderCallback on_result);
+  /// The last rollout of a service, or an empty list if there never was one; nullopt if no leader can confirm
+  /// it.
+  using RolloutReadCallback = std::function<void(const std::optional<std::vector<fleet::ServiceRollout>>&)>;
+  void read_rollout(const std::string& service, RolloutReadCallback on_read);
+  /// True if the configuration this member has applied contains a service of this name that has backends.
   bool has_service(const std::string& name) const;
-  /// True when a heartbeat can't be of the back end that it names, or names no service while another back end
-  /// is at its address.
-  bool contradicts(const fleet::BackendRecord& record) const;
-  /// The id of the newest incarnation of a back end that is known, else its name.
-  std::string incarnation_of(const std::string& name) const;
-  /// Takes a heartbeat; what it tells goes to the other members and to the routers soon after.
+  /// True if a heartbeat contradicts what is known of the backend it names, or if it comes from a new backend
+  /// whose service is not configured and whose address another backend uses.
+  bool conflicts_with_registry(const fleet::BackendRecord& record) const;
+  /// The id of the newest known incarnation of a backend; `name` itself if none is known.
+  std::string newest_incarnation(const std::string& name) const;
+  /// Records a heartbeat. Changes are sent to the other members and to routers at the next feed interval.
   HeartbeatAdvice heartbeat(const fleet::BackendRecord& record);
-  /// True when a back end is known to be retired at least as far as `state`.
-  bool retired(const std::string& id, fleet::BackendState state) const;
-  /// Up to `limit` routers that are ready, for callers in a zone.
-  std::vector<fleet::RouterRecord> routers_for(const std::string& zone, size_t limit);
-  /// Re-reads what may change while the process runs: the seeds.
+  /// True if the log records that a backend has reached `state` or a later state of retirement.
+  bool is_retired(const std::string& id, fleet::BackendState state) const;
+  /// Up to `limit` ready routers for clients in `zone`.
+  std::vector<fleet::RouterRecord> ready_routers(const std::string& zone, size_t limit);
+  /// Replaces the seeds, the only setting that may change while the process runs.
   void set_seeds(std::vector<Endpoint> seeds) { settings_.seeds = std::move(seeds); }
-  /// Stops in an orderly way: hands leadership over, then ends the loop.
+  /// Shuts down gracefully: hands leadership over, then stops the event loop.
   void stop();
   const Metrics& metrics() const { return metrics_; }
-  /// Voters of the member list that this member has.
+  /// Number of voters in this member's copy of the member list.
   size_t voter_count() const;
   bool leads() const { return core_->replica().leads(); }
-  /// Version of the configuration that this member has applied.
+  /// Version of the configuration that this member has applied; 0 if there is none yet.
   uint64_t configuration_version() const;
-  /// What this member knows of the running fleet.
-  const FleetKnowledge& knowledge() const { return knowledge_; }
+  const FleetSoftState& soft_state() const { return soft_state_; }
 
  private:
-  /// How a call ended. `done`: durable and applied, or confirmed; else nothing is known.
+  /// Outcome of a call. `done`: the command is durable and applied, or the read is confirmed; if false, the
+  /// outcome is unknown.
   struct CallOutcome {
     bool done = false;
     CommandResult result = {};
     std::string source = {};
     std::vector<fleet::ServiceRollout> rollout = {};
   };
-  struct Waiting {
+  struct PendingCall {
     std::function<void(const CallOutcome&)> on_end;
-    std::string rollout_of = {};  ///< service whose rollout is read
+    std::string rollout_service = {};  ///< service whose rollout is to be read; empty: the configuration
     TimePoint expires{0};
   };
   using ChannelPtr = std::shared_ptr<wire::Channel>;
 
-  // fleet_server.cc: the replicated log and its peers
+  // fleet_server.cc: the replicated log and connections to other members
   consensus::RestoredState restore();
   void start_core(const consensus::RestoredState& restored);
-  void found();
+  void bootstrap();
   void on_message(const ChannelPtr& channel, wire::Message message);
   void on_join(const ChannelPtr& channel, const wire::JoinRequest& request);
   void send_to_peer(const consensus::Message& message);
-  /// A connection for what must not wait: the log, and questions to the leader.
+  /// Connection for latency-sensitive messages: the log and requests to the leader.
   ChannelPtr channel_to(const std::string& address);
-  /// Another one for all else, so that it does not stand in the way of the first.
+  /// Separate connection for everything else, so that bulk data does not delay those messages.
   ChannelPtr bulk_channel_to(const std::string& address);
   ChannelPtr open_channel(std::map<std::string, ChannelPtr>& channels, const std::string& address);
   ChannelPtr leader_channel();
@@ -159,88 +163,88 @@
   void on_control_call(const ChannelPtr& channel, wire::ControlCall call);
   void on_confirmed_read(const ChannelPtr& channel, const fleet::ConfirmedRead& read);
   bool accepts(const Command& command) const;
-  uint64_t add_waiting(Waiting waiting);
-  /// Has the leader carry out a call, now or as soon as there is one.
+  uint64_t add_pending_call(PendingCall pending);
+  /// Sends a call to the leader, or holds it until a leader is known.
   void forward(uint64_t token, wire::Message message);
   void send_forwarded();
-  /// At the leader: puts a command into the log.
-  void take_command(uint64_t token, Command command);
+  /// On the leader: appends a command to the log.
+  void append_command(uint64_t token, Command command);
   void propose(Command command, std::function<void(const CallOutcome&)> on_end);
-  void read(const std::string& rollout_of, std::function<void(const CallOutcome&)> on_end);
+  void read(const std::string& rollout_service, std::function<void(const CallOutcome&)> on_end);
   void deliver_answers();
-  void finish(uint64_t token, const CallOutcome& outcome);
+  void finish_call(uint64_t token, const CallOutcome& outcome);
   void expire_calls();
 
-  // fleet_nodes.cc: routers
+  // fleet_routers.cc: heartbeats and routers
   void on_router_status(const ChannelPtr& channel, const fleet::RouterStatus& status);
   void on_router_loads(const ChannelPtr& channel, const fleet::RouterLoads& loads);
   void on_router_closed(const ChannelPtr& channel);
   void drop_silent_routers();
   fleet::FleetUpdate make_update(const RouterLink& link) const;
-  bool needs_configuration(const RouterLink& link, bool prompted) const;
-  void answer_router(RouterLink& link);
+  bool needs_configuration(const RouterLink& link, bool is_reply) const;
+  void reply_to_router(RouterLink& link);
   void push_to_routers();
   void feed_routers();
   void feed_router(RouterLink& link, std::map<FeedCursor, FeedFrame>& frames);
-  void notice_changes();
-  void notice_named_weights();
-  void note_backends();
-  void note_members();
-  void keep_knowledge();
+  void handle_state_changes();
+  void record_named_weights();
+  void log_registry_changes();
+  void track_member_changes();
+  void maintain_soft_state();
   int64_t confirmed_age_ms() const;
   std::optional<LeaderConfirmation> confirmation() const;
 
-  // fleet_permits.cc: limits of back ends for all routers together
+  // fleet_permits.cc: permits under the rate limits of backends, which apply to all routers together
   void on_permit_question(const ChannelPtr& channel, const fleet::PermitQuestion& question);
   bool may_grant_permits() const;
-  void keep_permits();
+  void maintain_permits();
 
-  // fleet_peers.cc: what members tell one another besides the log
+  // fleet_peers.cc: soft state exchanged between members, outside the log
   void exchange_with_peers();
   std::vector<std::string> other_members() const;
   void send_to_members(const wire::Frame& frame);
-  void send_wholes(uint64_t term, bool leads);
-  /// Counts what goes to another member as sent to its zone.
-  void measure_peer(const std::string& address, const std::string& zone);
+  void send_full_states(uint64_t term, bool leads);
+  /// Attributes the traffic to another member to the distance of its zone.
+  void meter_peer_traffic(const std::string& address, const std::string& zone);
   void log_traffic();
-  void on_peer_news(const fleet::PeerNews& news);
+  void on_peer_update(const fleet::PeerNews& peer_update);
   void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationQuestion& question);
   void on_confirmation_answer(const fleet::ConfirmationAnswer& answer);
-  void ask_for_confirmation();
-  void note_confirmation();
+  void request_confirmation();
+  void track_confirmation();
   void choose_caches();
-  void follow_caches();
+  void poll_followed_caches();
 
-  // fleet_service_rollout.cc: services that are moved to another version of their program
-  void stamp(fleet::StartServiceRollout& order) const;
-  std::vector<fleet::ServiceRollout> rollout_of(const std::string& service) const;
-  /// Requests that were sent under an order, as far as this member knows.
+  // fleet_service_rollout.cc: rollouts of services to another version of their software
+  void fill_in_order(fleet::StartServiceRollout& order) const;
+  std::vector<fleet::ServiceRollout> last_rollout(const std::string& service) const;
+  /// Requests sent during a rollout, to the target version and in total, as far as this member knows.
   struct SentRequests {
     uint64_t target = 0;
     uint64_t all = 0;
   };
-  SentRequests sent_under(uint64_t rollout) const;
-  void note_rollouts();
-  void log_step(const fleet::ServiceRollout& rollout);
-  void note_applied(const std::string& router, const std::vector<fleet::AppliedRollout>& applied);
-  void adopt_ages(const fleet::PeerNews& news);
-  void drive_rollouts();
+  SentRequests count_sent_requests(uint64_t rollout) const;
+  void track_rollouts();
+  void log_rollout_step(const fleet::ServiceRollout& rollout);
+  void record_applied_rollouts(const std::string& router, const std::vector<fleet::AppliedRollout>& applied);
+  void adopt_rollout_ages(const fleet::PeerNews& peer_update);
+  void advance_service_rollouts();
   void judge_answers();
   void step_rollout(const fleet::ServiceRollout& rollout);
-  rollout::RolloutView view_of(const fleet::ServiceRollout& rollout);
-  /// From an order to now, by the wall clocks: all that is left after a restart.
-  static Duration age_at_start(const fleet::ServiceRollout& rollout);
+  rollout::RolloutView make_rollout_view(const fleet::ServiceRollout& rollout);
+  /// Age of a rollout by wall clock, the only clock that survives a restart; between 0 and its duration.
+  static Duration wall_clock_age(const fleet::ServiceRollout& rollout);
 
-  // fleet_rollout.cc: new weights
-  void roll_out_weights();
-  void take_step(const RolloutStep& step);
-  void send_order(const RolloutStep& step);
-  void check_engine(const RolloutStep& step);
-  bool may_order() const;
+  // fleet_weight_rollout.cc: rollouts of model weights
+  void advance_weight_rollout();
+  void execute_step(const RolloutStep& step);
+  void send_weight_order(const RolloutStep& step);
+  void query_engine(const RolloutStep& step);
+  bool may_send_orders() const;
 
   EventLoop& loop_;
   FleetControlSettings settings_;
-  EngineOrders& orders_;
+  EngineOrders& engine_orders_;
   Logger log_{"control"};
   Metrics metrics_;
   std::shared_ptr<wire::TrafficMeter> traffic_ = std::make_shared<wire::TrafficMeter>();
@@ -250,44 +254,45 @@
   std::unique_ptr<ControlCore> core_;
   std::unique_ptr<DurableDriver> driver_;
   std::unique_ptr<wire::ChannelServer> channels_;
-  std::map<std::string, ChannelPtr> peers_;       ///< by internal address
-  std::map<std::string, ChannelPtr> bulk_peers_;  ///< likewise
-  std::set<std::string> join_addresses_;          ///< whom else to ask to be taken in
-  std::map<uint64_t, Waiting> waiting_;
-  ForwardedCalls forwarded_;
+  std::map<std::string, ChannelPtr> peer_channels_;  ///< by internal address, or "id " and the id for replies
+  std::map<std::string, ChannelPtr> bulk_channels_;  ///< by internal address
+  std::set<std::string> join_addresses_;             ///< learned from members, to send join requests to
+  std::map<uint64_t, PendingCall> pending_calls_;
+  ForwardedCalls forwarded_calls_;
   uint64_t last_token_ = 0;
   bool delivering_ = false;
   bool stopping_ = false;
 
-  FleetKnowledge knowledge_;
+  FleetSoftState soft_state_;
   PeerFeeds peer_feeds_;
-  std::map<std::string, RouterLink> routers_;                   ///< by name
-  size_t ready_count_ = 0;                                      ///< routers that are ready, as last counted
-  uint64_t noted_backends_ = 0;                                 ///< revision of the registry as last logged
-  std::map<std::string, fleet::BackendRecord> noted_registry_;  ///< as last logged, like the next two
-  uint64_t noted_configuration_ = 0;
-  std::string noted_members_;
-  uint64_t noticed_revision_ = 0;
-  fleet::RevisionTable<std::string, fleet::BackendState> retired_;  ///< as the log has it
-  fleet::NamedWeights named_;
-  uint64_t named_revision_ = 0;         ///< counts changes of `named_`
-  uint64_t members_revision_ = 0;       ///< counts changes of the member list
-  TimePoint configuration_applied_{0};  ///< when this member applied the newest configuration
+  std::map<std::string, RouterLink> router_links_;               ///< by name
+  size_t ready_router_count_ = 0;                                ///< ready routers at the last count
+  uint64_t logged_registry_revision_ = 0;                        ///< changes up to it are logged
+  std::map<std::string, fleet::BackendRecord> logged_registry_;  ///< contents at that revision
+  uint64_t logged_configuration_version_ = 0;
+  std::string logged_members_;
+  uint64_t handled_state_revision_ = 0;
+  fleet::RevisionTable<std::string, fleet::BackendState> retired_backends_;  ///< from the replicated log
+  fleet::NamedWeights named_weights_;
+  uint64_t named_weights_revision_ = 0;    ///< incremented when `named_weights_` changes
+  uint64_t members_revision_ = 0;          ///< incremented when the member list changes
+  TimePoint configuration_applied_at_{0};  ///< of the newest configuration
 
   LeaderQuestions questions_;
-  TimePoint next_question_{0};
-  TimePoint next_exchange_{0};  ///< when the other members are to hear of this one, changes or not
-  CacheWatch watch_;
-  WeightRollout rollout_;
-  admission::PermitBook permits_;                 ///< counts while this member leads
-  std::map<uint64_t, RolloutProgress> progress_;  ///< by id of orders that are not final
-  rollout::RouterConfirmations confirmations_;
-  std::map<uint64_t, uint64_t> noted_steps_;  ///< by id of the order: the newest step that was seen
-  uint64_t rollouts_revision_ = 0;            ///< counts changes of orders and their steps
-  bool led_ = false;
-  bool was_confirmed_ = false;               ///< routers were told that a leader is confirmed
-  std::optional<TimePoint> last_confirmed_;  ///< when a quorum last confirmed a leader, as far as is known
-  TimePoint leader_since_{0};
+  TimePoint next_confirmation_request_{0};
+  TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
+  CacheWatch cache_watch_;
+  WeightRollout weight_rollout_;
+  admission::PermitBook permit_book_;                     ///< valid while this member leads
+  std::map<uint64_t, RolloutProgress> rollout_progress_;  ///< by rollout id; only rollouts not yet final
+  rollout::RouterConfirmations router_confirmations_;
+  std::map<uint64_t, uint64_t> seen_steps_;  ///< by rollout id: newest step seen
+  uint64_t rollouts_revision_ = 0;           ///< incremented when a rollout starts or steps
+  bool was_leader_ = false;
+  bool was_confirmed_ = false;  ///< a recent confirmation of the leader was known at the last check
+  /// When a quorum last confirmed a leader, as far as this member knows.
+  std::optional<TimePoint> leader_confirmed_at_;
+  TimePoint leader_since_{0};  ///< when this member last became leader or ceased to be
 };
 
 }  // namespace stoat::control
--- a/tests/unit/fleet_admin_api_test.cc
+++ b/tests/unit/fleet_admin_api_test.cc
@@ -1,4 +1,4 @@
-/// The administration interface of a control member over HTTP, with the product's own names.
+/// The HTTP API of a control member with the default field names and paths, and its JSON bodies.
 #include <nlohmann/json.hpp>
 
 #include "src/control/control_program.h"
@@ -20,7 +20,7 @@
  "tenants":[{"name":"t","keys":["k"],"quota_per_second":10,"quota_burst":20,"quota_unit":"tokens",
    "tokens_without_count":7}]})";
 
-TEST(FleetBodies, ReadTheProductsOwnNames) {
+TEST(FleetBodies, ParseDefaultFieldNames) {
   Findings findings;
   const auto configuration = read_configuration(kConfiguration, {}, findings);
   ASSERT_TRUE(configuration) << findings.to_text();
@@ -40,18 +40,18 @@
   EXPECT_TRUE(events->gap);
 }
 
-TEST(FleetBodies, WriteOrdersWithTheProductsOwnNames) {
+TEST(FleetBodies, FormatOrdersWithDefaultFieldNames) {
   VersionOrder order;
   order.model = "m";
   order.version = 2;
   order.fence = 9;
-  const json body = json::parse(order_body(order, {}));
+  const json body = json::parse(weight_order_body(order, {}));
   EXPECT_EQ(body["operation"], "load_weights");
   EXPECT_EQ(body["fence"], 9);
   EXPECT_EQ(body["version"], 2);
 }
 
-/// A control member as a process runs it, on a thread.
+/// Runs a complete control member program on a thread.
 class FleetAdminApiTest : public ::testing::Test {
  protected:
   FleetAdminApiTest() {
@@ -88,8 +88,8 @@
     request.timeout = 2s;
     return http::fetch(request);
   }
-  /// Repeats a call until the member leads and answers it with 200.
-  bool done(const std::string& method, const std::string& path, const std::string& body = "") {
+  /// Retries a call until the member leads and replies with 200. Returns false after 200 attempts.
+  bool succeeds_eventually(const std::string& method, const std::string& path, const std::string& body = "") {
     for (int tries = 0; tries < 200; ++tries) {
       if (call(control_, method, path, body).status == 200) {
         return true;
@@ -107,50 +107,51 @@
   std::thread thread_;
 };
 
-TEST_F(FleetAdminApiTest, GivesBackTheConfigurationThatWasPut) {
-  ASSERT_TRUE(done("PUT", "/v1/configuration", kConfiguration));
+TEST_F(FleetAdminApiTest, ReturnsTheStoredConfiguration) {
+  ASSERT_TRUE(succeeds_eventually("PUT", "/v1/configuration", kConfiguration));
   const auto read = call(control_, "GET", "/v1/configuration");
   EXPECT_EQ(read.status, 200);
   EXPECT_EQ(read.body, kConfiguration);
 }
 
-TEST_F(FleetAdminApiTest, ABackEndIsToldToKeepItsHeartbeatsAtTheNearestMember) {
-  ASSERT_TRUE(done("PUT", "/v1/configuration", kConfiguration));
-  // A member advises once it knows that a quorum confirmed its leader, some milliseconds after the first
-  // write.
-  std::string told;
+TEST_F(FleetAdminApiTest, HeartbeatReplyNamesTheNearestMember) {
+  ASSERT_TRUE(succeeds_eventually("PUT", "/v1/configuration", kConfiguration));
+  // The reply contains an address only after a quorum is known to have confirmed the leader, which is some
+  // milliseconds after the first write.
+  std::string heartbeat_address;
   const auto give_up_at = std::chrono::steady_clock::now() + 5s;
-  for (int sequence = 1; told.empty() && std::chrono::steady_clock::now() < give_up_at; ++sequence) {
+  for (int sequence = 1; heartbeat_address.empty() && std::chrono::steady_clock::now() < give_up_at;
+       ++sequence) {
     const auto answer =
         call(control_, "PUT", "/v1/backends/e1",
              R"({"service":"models","address":"127.0.0.1:9","state":"ready","slots":8,"sequence":)" +
                  std::to_string(sequence) + "}");
     ASSERT_EQ(answer.status, 200);
-    told = json::parse(answer.body).value("heartbeat_address", "");
+    heartbeat_address = json::parse(answer.body).value("heartbeat_address", "");
   }
-  EXPECT_EQ(told, to_string(control_));
+  EXPECT_EQ(heartbeat_address, to_string(control_));
 }
 
-TEST_F(FleetAdminApiTest, RefusesAWrongConfigurationWithItsFindings) {
+TEST_F(FleetAdminApiTest, RejectsAnInvalidConfigurationWithFindings) {
   const auto answer = call(control_, "PUT", "/v1/configuration", R"({"version":1,"routes":[{"name":"r"}]})");
   EXPECT_EQ(answer.status, 400);
   EXPECT_NE(answer.body.find("routes[0].kind"), std::string::npos) << answer.body;
   EXPECT_NE(answer.body.find("services"), std::string::npos) << answer.body;
 }
 
-TEST_F(FleetAdminApiTest, TakesWeightsHeartbeatsAndRemovals) {
-  EXPECT_TRUE(done("POST", "/v1/weights", R"({"model":"m","version":2})"));
+TEST_F(FleetAdminApiTest, AcceptsWeightsHeartbeatsAndRemovals) {
+  EXPECT_TRUE(succeeds_eventually("POST", "/v1/weights", R"({"model":"m","version":2})"));
   EXPECT_EQ(call(control_, "POST", "/v1/weights", R"({"model":"m"})").status, 400);
   EXPECT_EQ(
       call(control_, "PUT", "/v1/backends/e1", R"({"service":"s","address":"127.0.0.1:9","state":"ready"})")
           .status,
       200);
   EXPECT_EQ(call(control_, "PUT", "/v1/backends/e1", "{}").status, 400);
-  EXPECT_TRUE(done("DELETE", "/v1/backends/e1"));
+  EXPECT_TRUE(succeeds_eventually("DELETE", "/v1/backends/e1"));
 }
 
-TEST_F(FleetAdminApiTest, TellsItsStatusAndThatNoRouterIsReady) {
-  ASSERT_TRUE(done("POST", "/v1/weights", R"({"model":"m","version":2})"));
+TEST_F(FleetAdminApiTest, ReportsStatusAndThatNoRouterIsReady) {
+  ASSERT_TRUE(succeeds_eventually("POST", "/v1/weights", R"({"model":"m","version":2})"));
   const json status = json::parse(call(control_, "GET", "/v1/status").body);
   EXPECT_EQ(status["voters"], 1);
   EXPECT_EQ(status["leads"], true);
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -1,5 +1,5 @@
-/// Control members that keep themselves: founding, growing to the wanted number of voters, lost disks,
-/// members at new addresses, and what was acknowledged through all of it.
+/// Membership of control members: bootstrap, growth to the target number of voters, lost disks and members at
+/// new addresses. Acknowledged writes must survive all of these.
 #include "tests/support/fleet_members.h"
 
 namespace stoat {
@@ -7,18 +7,18 @@
 
 using FleetMembersTest = test::MembersFixture;
 
-TEST_F(FleetMembersTest, FoundsAndAcknowledgesOnlyOnEnoughDisks) {
+TEST_F(FleetMembersTest, BootstrapsAndAcknowledgesOnlyWithEnoughVoters) {
   start(0, true);
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
-  EXPECT_FALSE(members_[0]->commit(put(1)));  // one voter of three: a lost disk would lose it
+  EXPECT_FALSE(members_[0]->commit(put(1)));  // one voter of three: the loss of its disk would lose the write
   start(1, true);
   start(2, true);
-  EXPECT_TRUE(commit_somewhere(1, 2));  // through a follower as well
+  EXPECT_TRUE(commit_somewhere(1, 2));  // also through a follower
   EXPECT_EQ(members_[0]->voters(), 3U);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v1"); }));
 }
 
-TEST_F(FleetMembersTest, AWriteThatComesWhenTheLeaderHasDiedIsAcknowledgedAtTheFirstAttempt) {
+TEST_F(FleetMembersTest, WriteDuringLeaderFailureIsAcknowledgedWithoutRetry) {
   start_all();
   ASSERT_TRUE(commit_somewhere(1, 0));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3 && members_[2]->voters() == 3; }));
@@ -30,12 +30,12 @@
     break;
   }
   ASSERT_EQ(members_.size(), 2U);
-  // The others have not noticed yet; the call waits for the one that is elected.
+  // The others have not noticed yet; the calls wait until one of them is elected.
   EXPECT_TRUE(members_.begin()->second->commit(put(2)));
   EXPECT_TRUE(members_.rbegin()->second->commit(put(3)));
 }
 
-TEST_F(FleetMembersTest, AMemberThatLostItsDiskTakesItsOwnPlaceAgain) {
+TEST_F(FleetMembersTest, MemberThatLostItsDiskRejoins) {
   start_all();
   ASSERT_TRUE(commit_somewhere(1, 0));
   members_.erase(1);
@@ -43,14 +43,15 @@
   start(1, false);
   ASSERT_TRUE(commit_somewhere(2, 1));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3; }));
-  // Its disk counts again: with the founder gone the other two go on, and know all.
+  // Its disk counts towards the quorum again: without the member that bootstrapped the fleet, the other two
+  // continue with the complete state.
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   members_.erase(0);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v2"); }));
   EXPECT_TRUE(commit_somewhere(3, 2));
 }
 
-TEST_F(FleetMembersTest, AMemberAtANewAddressReplacesOneThatIsGone) {
+TEST_F(FleetMembersTest, MemberAtANewAddressReplacesALostOne) {
   start_all();
   ASSERT_TRUE(commit_somewhere(1, 0));
   members_.erase(2);
@@ -58,11 +59,11 @@
   ASSERT_TRUE(eventually([&] { return members_[3]->read() == std::optional<std::string>("v1"); }));
   ASSERT_TRUE(eventually([&] { return members_[0]->voters() == 3; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
-  members_.erase(1);  // a second loss, after the repair
+  members_.erase(1);  // a second loss, after the first member was replaced
   EXPECT_TRUE(commit_somewhere(2, 3));
 }
 
-TEST_F(FleetMembersTest, ABlankFleetThatDoesNotStartForTheFirstTimeFoundsNothing) {
+TEST_F(FleetMembersTest, EmptyMembersDoNotBootstrapWithoutFirstStart) {
   for (size_t i = 0; i < 3; ++i) {
     start(i, false);
   }
@@ -71,8 +72,9 @@
   EXPECT_EQ(members_[0]->read(), std::nullopt);
 }
 
-TEST_F(FleetMembersTest, TheNextLeaderOrdersWeightsFromWhatAllMembersKnow) {
-  // Found on the large fleets: what the leader knew of engines and of the naming of weights went with it.
+TEST_F(FleetMembersTest, NextLeaderOrdersWeightsFromReplicatedSoftState) {
+  // Regression test from runs with large fleets: what the leader knew of engines and of announced weight
+  // versions was lost with it.
   start_all();
   ASSERT_TRUE(commit_somewhere(1, 0));
   fleet::BackendRecord engine;
@@ -81,7 +83,7 @@
   engine.address = "127.0.0.1:1";
   engine.sequence = 1;
   engine.models = {{"m", 1}};
-  members_[0]->heartbeat(engine);  // the only one, and to one member only
+  members_[0]->heartbeat(engine);  // a single heartbeat, to one member
   ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::NameWeights{"m", 2}); }));
   const auto leader = [&]() -> std::optional<size_t> {
     for (auto& [position, member] : members_) {
@@ -96,7 +98,7 @@
   EXPECT_TRUE(eventually([&] { return leader().has_value(); }));
 }
 
-TEST_F(FleetMembersTest, AllThatWasAcknowledgedOutlivesALossOfPowerOfAll) {
+TEST_F(FleetMembersTest, AcknowledgedWritesSurviveARestartOfAllMembers) {
   start_all();
   for (uint64_t version = 1; version <= 25; ++version) {
     ASSERT_TRUE(commit_somewhere(version, version % 3));
--- a/tests/unit/heartbeat_advice_test.cc
+++ b/tests/unit/heartbeat_advice_test.cc
@@ -1,18 +1,18 @@
-/// What a member tells back ends when it is cut off from the others.
+/// The advice that a member gives to backends before and after it is cut off from the other member.
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
 namespace {
 
-/// Two members, each on a thread; neither has a quorum alone.
+/// Two members, each on its own thread; neither has a quorum alone.
 class HeartbeatAdviceTest : public ::testing::Test {
  protected:
-  struct Running {
+  struct RunningMember {
     EventLoop loop;
     test::NotedOrders orders;
     std::unique_ptr<control::FleetServer> server;
     std::thread thread;
-    Running(const Endpoint& internal, const std::vector<Endpoint>& seeds, const std::string& folder) {
+    RunningMember(const Endpoint& internal, const std::vector<Endpoint>& seeds, const std::string& folder) {
       control::FleetControlSettings settings;
       settings.name = to_string(internal);
       settings.zone = "z1";
@@ -26,12 +26,12 @@
       server = std::make_unique<control::FleetServer>(loop, settings, orders);
       thread = std::thread([this] { loop.run(); });
     }
-    ~Running() {
+    ~RunningMember() {
       loop.post([this] { loop.stop(); });
       thread.join();
     }
-    Running(const Running&) = delete;
-    Running& operator=(const Running&) = delete;
+    RunningMember(const RunningMember&) = delete;
+    RunningMember& operator=(const RunningMember&) = delete;
   };
   HeartbeatAdviceTest() {
     root_ = std::filesystem::temp_directory_path() / ("stoat-advice-" + std::to_string(::getpid()));
@@ -39,15 +39,15 @@
     const std::vector<Endpoint> endpoints = {{"127.0.0.1", test::free_port()},
                                              {"127.0.0.2", test::free_port()}};
     for (size_t position = 0; position < endpoints.size(); ++position) {
-      members_.push_back(std::make_unique<Running>(endpoints[position], endpoints,
-                                                   (root_ / std::to_string(position)).string()));
+      members_.push_back(std::make_unique<RunningMember>(endpoints[position], endpoints,
+                                                         (root_ / std::to_string(position)).string()));
     }
   }
   ~HeartbeatAdviceTest() override {
     members_.clear();
     std::filesystem::remove_all(root_);
   }
-  control::HeartbeatAdvice beat(size_t member) {
+  control::HeartbeatAdvice send_heartbeat(size_t member) {
     fleet::BackendRecord record;
     record.id = "e1";
     record.zone = "z1";
@@ -67,22 +67,24 @@
   }
 
   std::filesystem::path root_;
-  std::vector<std::unique_ptr<Running>> members_;
+  std::vector<std::unique_ptr<RunningMember>> members_;
   uint64_t sequence_ = 0;
 };
 
-TEST_F(HeartbeatAdviceTest, OneMemberKeepsABackEndUntilItIsCutOff) {
+TEST_F(HeartbeatAdviceTest, NearestMemberKeepsABackendUntilItIsCutOff) {
   const auto voters = [this](size_t member) {
     return test::run_on(members_[member]->loop, [&] { return members_[member]->server->voter_count(); });
   };
   ASSERT_TRUE(eventually([&] { return voters(0) == 2 && voters(1) == 2; }));
-  // Of two members in its zone one is the back end's.
-  const auto stays = [this](size_t member) { return beat(member) == control::HeartbeatAdvice::kStay; };
-  ASSERT_TRUE(eventually([&] { return stays(0) != stays(1); }));
-  const size_t home = stays(0) ? 0 : 1;
+  // Exactly one of the two members in the backend's zone keeps it.
+  const auto advises_to_stay = [this](size_t member) {
+    return send_heartbeat(member) == control::HeartbeatAdvice::kStayHere;
+  };
+  ASSERT_TRUE(eventually([&] { return advises_to_stay(0) != advises_to_stay(1); }));
+  const size_t home = advises_to_stay(0) ? 0 : 1;
   members_.erase(members_.begin() + static_cast<std::ptrdiff_t>(1 - home));
-  // Without the other one there is no leader that is confirmed: what this one hears comes to nobody.
-  EXPECT_TRUE(eventually([this] { return beat(0) == control::HeartbeatAdvice::kMove; }));
+  // Without the other member no leader can be confirmed, and heartbeats received here reach nobody else.
+  EXPECT_TRUE(eventually([this] { return send_heartbeat(0) == control::HeartbeatAdvice::kMoveAway; }));
 }
 
 }  // namespace
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -1,5 +1,5 @@
-/// Five control members with thousands of back ends and hundreds of routers, in one process: what they tell
-/// one another, by count of messages and of bytes.
+/// Five control members with 3000 backends and 300 routers in one process: bounds on the messages and bytes
+/// that they exchange.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -13,7 +13,7 @@
 namespace {
 
 using control::FeedCursor;
-using control::FleetKnowledge;
+using control::FleetSoftState;
 using control::PeerFeeds;
 
 constexpr size_t kMembers = 5;
@@ -21,12 +21,12 @@
 constexpr size_t kRouters = 300;
 constexpr Duration kStep = 50ms;
 constexpr size_t kStepsPerHeartbeat = 24;  ///< 1.2 s
-/// What a connection between two members takes in a step: 1 MB a second.
+/// Capacity of a connection between two members per step: 1 MB/s.
 constexpr size_t kBytesPerStep = 50000;
 
-std::string address_of(size_t member) { return "10.0.0." + std::to_string(member) + ":7340"; }
+std::string member_address(size_t member) { return "10.0.0." + std::to_string(member) + ":7340"; }
 
-fleet::BackendRecord engine(size_t number, uint64_t sequence) {
+fleet::BackendRecord engine_record(size_t number, uint64_t sequence) {
   fleet::BackendRecord record;
   record.id = "i-" + to_hex(hash_pair(number, 1)).substr(0, 10);
   record.service = "models";
@@ -38,20 +38,20 @@
   return record;
 }
 
-/// A connection that takes so many bytes in a step.
+/// A connection with limited capacity, which delivers updates in order.
 struct Connection {
   std::deque<std::pair<size_t, fleet::PeerNews>> queue;
   size_t unsent = 0;
-  void send(size_t bytes, const fleet::PeerNews& news) {
+  void send(size_t bytes, const fleet::PeerNews& peer_update) {
     unsent += bytes;
-    queue.emplace_back(bytes, news);
+    queue.emplace_back(bytes, peer_update);
   }
 };
 
 struct Member {
   explicit Member(size_t number, TimePoint now)
-      : knowledge({address_of(number), "zone-" + std::to_string(number), {}, {}, number + 1, now}) {}
-  FleetKnowledge knowledge;
+      : soft_state({member_address(number), "zone-" + std::to_string(number), {}, {}, number + 1, now}) {}
+  FleetSoftState soft_state;
   PeerFeeds feeds;
   std::map<size_t, Connection> connections;  ///< by receiver
 };
@@ -63,53 +63,53 @@
       members_.push_back(std::make_unique<Member>(number, now_));
     }
   }
-  /// The engines whose turn it is, each at some member.
-  void hear_engines() {
+  /// Delivers the heartbeats due in this step, each to one member.
+  void deliver_heartbeats() {
     for (size_t number = step_ % kStepsPerHeartbeat; number < kEngines; number += kStepsPerHeartbeat) {
       const uint64_t sequence = step_ / kStepsPerHeartbeat + 1;
-      members_[hash_pair(number, sequence) % kMembers]->knowledge.on_heartbeat(engine(number, sequence),
-                                                                               now_);
+      members_[hash_pair(number, sequence) % kMembers]->soft_state.on_heartbeat(
+          engine_record(number, sequence), now_);
     }
   }
   void exchange(Member& member) {
-    const fleet::PeerNews news = member.knowledge.take_peer_news(1, false, now_);
-    const size_t bytes = wire::make_frame(news).bytes.size();
+    const fleet::PeerNews peer_update = member.soft_state.take_peer_update(1, false, now_);
+    const size_t bytes = wire::make_frame(peer_update).bytes.size();
     for (size_t to = 0; to < kMembers; ++to) {
       if (members_[to].get() == &member) {
         continue;
       }
       Connection& connection = member.connections[to];
       const bool lost = std::exchange(lose_next_, false);
-      if (member.feeds.takes_news(address_of(to), connection.unsent) && !lost) {
-        connection.send(bytes, news);
+      if (member.feeds.takes_news(member_address(to), connection.unsent) && !lost) {
+        connection.send(bytes, peer_update);
         sent_bytes_ += bytes;
       }
     }
-    for (const std::string& asking : member.knowledge.take_whole_requests()) {
-      member.feeds.on_request(asking, now_);
+    for (const std::string& requester : member.soft_state.take_full_state_requests()) {
+      member.feeds.on_request(requester, now_);
     }
     for (size_t to = 0; to < kMembers; ++to) {
       Connection& connection = member.connections[to];
-      if (member.feeds.whole_due(address_of(to), connection.unsent, now_)) {
-        const fleet::PeerNews whole = member.knowledge.whole_for_peer(1, false, {}, now_);
-        whole_bytes_ = wire::make_frame(whole).bytes.size();
-        connection.send(whole_bytes_, whole);
-        member.feeds.on_whole_sent(address_of(to), whole_bytes_, now_);
-        sent_bytes_ += whole_bytes_;
-        ++wholes_;
+      if (member.feeds.whole_due(member_address(to), connection.unsent, now_)) {
+        const fleet::PeerNews full_state = member.soft_state.full_state_for_peer(1, false, {}, now_);
+        full_state_bytes_ = wire::make_frame(full_state).bytes.size();
+        connection.send(full_state_bytes_, full_state);
+        member.feeds.on_whole_sent(member_address(to), full_state_bytes_, now_);
+        sent_bytes_ += full_state_bytes_;
+        ++full_states_sent_;
       }
     }
   }
   void deliver(Connection& connection, Member& receiver) const {
     size_t room = kBytesPerStep;
     while (!connection.queue.empty() && room > 0) {
-      auto& [left, news] = connection.queue.front();
-      const size_t taken = std::min(room, left);
-      left -= taken;
+      auto& [remaining, peer_update] = connection.queue.front();
+      const size_t taken = std::min(room, remaining);
+      remaining -= taken;
       room -= taken;
       connection.unsent -= taken;
-      if (left == 0) {
-        receiver.knowledge.on_peer_news(news, now_);
+      if (remaining == 0) {
+        receiver.soft_state.on_peer_update(peer_update, now_);
         connection.queue.pop_front();
       }
     }
@@ -117,7 +117,7 @@
   void run(size_t steps) {
     for (size_t i = 0; i < steps; ++i) {
       now_ += kStep;
-      hear_engines();
+      deliver_heartbeats();
       for (const auto& member : members_) {
         exchange(*member);
       }
@@ -125,7 +125,7 @@
         for (auto& [to, connection] : member->connections) {
           deliver(connection, *members_[to]);
         }
-        member->knowledge.expire(now_);
+        member->soft_state.expire(now_);
       }
       ++step_;
     }
@@ -135,81 +135,82 @@
   TimePoint now_ = 100s;
   size_t step_ = 0;
   size_t sent_bytes_ = 0;
-  size_t wholes_ = 0;
-  size_t whole_bytes_ = 0;
+  size_t full_states_sent_ = 0;
+  size_t full_state_bytes_ = 0;
   bool lose_next_ = false;
 };
 
-TEST_F(LargeFleetTest, FromNothingToAllKnownEachRecordIsSentOnce) {
+TEST_F(LargeFleetTest, EachRecordIsSentOnceFromAnEmptyStart) {
   size_t record_bytes = 0;
   for (size_t number = 0; number < kEngines; ++number) {
-    record_bytes += wire::encode(engine(number, 1)).size();
+    record_bytes += wire::encode(engine_record(number, 1)).size();
   }
   std::vector<FeedCursor> routers(kRouters);
-  std::vector<size_t> told(kRouters);
-  std::vector<size_t> told_bytes(kRouters);
+  std::vector<size_t> records_received(kRouters);
+  std::vector<size_t> bytes_received(kRouters);
   for (size_t i = 0; i < kStepsPerHeartbeat + 4; ++i) {
     run(1);
     for (size_t router = 0; router < kRouters; ++router) {
-      fleet::FleetNews news;
+      fleet::FleetNews message;
       do {
-        news = members_[router % kMembers]->knowledge.next_news(routers[router], now_);
-        told[router] += news.backends.size();
-        told_bytes[router] += wire::encode(news).size();
-      } while (!news.empty());
+        message = members_[router % kMembers]->soft_state.next_feed_message(routers[router], now_);
+        records_received[router] += message.backends.size();
+        bytes_received[router] += wire::encode(message).size();
+      } while (!message.empty());
     }
   }
   for (const auto& member : members_) {
-    EXPECT_EQ(member->knowledge.registry().table().size(), kEngines);
+    EXPECT_EQ(member->soft_state.registry().table().size(), kEngines);
   }
-  EXPECT_EQ(wholes_, 0U);
+  EXPECT_EQ(full_states_sent_, 0U);
   EXPECT_LT(sent_bytes_, record_bytes * (kMembers - 1) * 13 / 10);
   for (size_t router = 0; router < kRouters; ++router) {
-    ASSERT_EQ(told[router], kEngines);
-    ASSERT_LT(told_bytes[router], record_bytes * 13 / 10);
+    ASSERT_EQ(records_received[router], kEngines);
+    ASSERT_LT(bytes_received[router], record_bytes * 13 / 10);
   }
 }
 
-TEST_F(LargeFleetTest, HeartbeatsOfAKnownFleetTakeAFewBytesEach) {
+TEST_F(LargeFleetTest, HeartbeatsWithoutChangesTakeFewBytes) {
   run(3 * kStepsPerHeartbeat);
   sent_bytes_ = 0;
   run(kStepsPerHeartbeat);
   constexpr size_t kBytesPerHeartbeat = 20;
   EXPECT_LT(sent_bytes_, kEngines * (kMembers - 1) * kBytesPerHeartbeat);
-  run(5 * kStepsPerHeartbeat);  // longer than until a silent one counts as lost
+  run(5 * kStepsPerHeartbeat);  // longer than the silence after which a backend counts as lost
   for (const auto& member : members_) {
-    for (const fleet::BackendRecord& record : member->knowledge.registry().records()) {
+    for (const fleet::BackendRecord& record : member->soft_state.registry().records()) {
       ASSERT_FALSE(record.lost) << record.id;
     }
   }
 }
 
-TEST_F(LargeFleetTest, ALostMessageCostsOneWholeAlsoOverASlowConnection) {
+TEST_F(LargeFleetTest, LostMessageCostsOneFullStateOnASlowConnection) {
   run(2 * kStepsPerHeartbeat);
-  ASSERT_EQ(wholes_, 0U);
+  ASSERT_EQ(full_states_sent_, 0U);
   sent_bytes_ = 0;
   lose_next_ = true;
   run(1);
   run(3 * kStepsPerHeartbeat);
-  EXPECT_EQ(wholes_, 1U);
-  EXPECT_GT(whole_bytes_, 3 * kBytesPerStep);  // it takes several questions' time to arrive
+  EXPECT_EQ(full_states_sent_, 1U);
+  EXPECT_GT(full_state_bytes_, 3 * kBytesPerStep);  // it takes several request intervals to arrive
   for (const auto& member : members_) {
     for (const auto& [to, connection] : member->connections) {
       EXPECT_EQ(connection.unsent, 0U);
     }
-    EXPECT_TRUE(member->knowledge.take_peer_news(1, false, now_).incomplete.empty());
+    EXPECT_TRUE(member->soft_state.take_peer_update(1, false, now_).incomplete.empty());
   }
 }
 
-TEST_F(LargeFleetTest, AMemberThatStartsAnewKnowsAllAfterOneWholeOfEach) {
+TEST_F(LargeFleetTest, RestartedMemberCatchesUpWithOneFullStateFromEach) {
   run(2 * kStepsPerHeartbeat);
   members_[4] = std::make_unique<Member>(4, now_);
   for (size_t from = 0; from < 4; ++from) {
     members_[from]->connections[4] = {};
   }
   run(kStepsPerHeartbeat);
-  EXPECT_EQ(members_[4]->knowledge.registry().table().size(), kEngines);
-  EXPECT_LE(wholes_, 2 * (kMembers - 1));  // of each to the new one, and of it to each
+  EXPECT_EQ(members_[4]->soft_state.registry().table().size(), kEngines);
+  EXPECT_LE(full_states_sent_,
+            2 * (kMembers - 1));  // from each member to the new one, and from it to each member
 }
 
 }  // namespace
--- a/tests/unit/platform_bodies_test.cc
+++ b/tests/unit/platform_bodies_test.cc
@@ -1,4 +1,4 @@
-/// The adapter's reading of the target platform's bodies.
+/// Parsing of JSON bodies with the field names of the platform adapter.
 #include <gtest/gtest.h>
 
 #include "platform/names.h"
@@ -20,7 +20,8 @@
  "limits":{"header_bytes":1000,"body_bytes":2000,"header_timeout_ms":30,"idle_timeout_ms":40},
  "tenants":[{"name":"t","access_keys":["k1","k2"],"priority":1,"isolated":true}],"later":{"unknown":1}})";
 
-std::optional<fleet::FleetConfiguration> read(const std::string& text, std::string* findings_text = nullptr) {
+std::optional<fleet::FleetConfiguration> parse(const std::string& text,
+                                               std::string* findings_text = nullptr) {
   Findings findings;
   auto configuration = control::read_configuration(text, body_names(), findings);
   if (findings_text != nullptr) {
@@ -29,13 +30,13 @@
   return configuration;
 }
 
-std::string with(const std::string& from, const std::string& to) {
+std::string with_replacement(const std::string& from, const std::string& to) {
   std::string text = kConfiguration;
   return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(PlatformBodies, ReadsAWholeConfiguration) {
-  const auto configuration = read(kConfiguration);
+TEST(PlatformBodies, ParsesACompleteConfiguration) {
+  const auto configuration = parse(kConfiguration);
   ASSERT_TRUE(configuration);
   EXPECT_EQ(configuration->version, 7U);
   EXPECT_EQ(configuration->routes[0].shares.size(), 2U);
@@ -50,8 +51,8 @@
 constexpr char kQuota[] =
     R"("isolated":true,"unit":"tokens","requests_per_s":573606,"burst":1000.5,"uncached_tokens":200})";
 
-TEST(PlatformBodies, ReadsATenantsQuota) {
-  const auto configuration = read(with("\"isolated\":true}", kQuota));
+TEST(PlatformBodies, ParsesATenantsQuota) {
+  const auto configuration = parse(with_replacement("\"isolated\":true}", kQuota));
   ASSERT_TRUE(configuration);
   const fleet::TenantQuota& quota = configuration->tenants[0].quota;
   EXPECT_EQ(quota.unit, fleet::QuotaUnit::kTokens);
@@ -59,34 +60,35 @@
   EXPECT_EQ(quota.burst, 1000.5);
   EXPECT_EQ(quota.cost_of(1460), 1460);
   EXPECT_EQ(quota.cost_of(std::nullopt), 200);
-  EXPECT_FALSE(read(kConfiguration)->tenants[0].quota.limited());
+  EXPECT_FALSE(parse(kConfiguration)->tenants[0].quota.limited());
 }
 
-TEST(PlatformBodies, RefusesABrokenQuotaWithAllItsFindings) {
+TEST(PlatformBodies, RejectsAnInvalidQuotaWithAllFindings) {
   std::string findings;
-  EXPECT_FALSE(read(
-      with("\"isolated\":true}", R"("isolated":true,"unit":"bytes","requests_per_s":-1,"burst":"much"})"),
-      &findings));
+  EXPECT_FALSE(
+      parse(with_replacement("\"isolated\":true}",
+                             R"("isolated":true,"unit":"bytes","requests_per_s":-1,"burst":"much"})"),
+            &findings));
   EXPECT_NE(findings.find("tenants[0].unit"), std::string::npos) << findings;
   EXPECT_NE(findings.find("tenants[0].requests_per_s"), std::string::npos) << findings;
   EXPECT_NE(findings.find("tenants[0].burst"), std::string::npos) << findings;
 }
 
-TEST(PlatformBodies, RefusesWhatIsInvalidAndNamesThePlace) {
+TEST(PlatformBodies, RejectsInvalidConfigurationsAndNamesTheField) {
   std::string findings;
-  EXPECT_FALSE(read(std::string(kConfiguration).substr(0, 400), &findings));
-  EXPECT_FALSE(read(with("\"timeout_ms\":100", "\"timeout_ms\":0"), &findings));
+  EXPECT_FALSE(parse(std::string(kConfiguration).substr(0, 400), &findings));
+  EXPECT_FALSE(parse(with_replacement("\"timeout_ms\":100", "\"timeout_ms\":0"), &findings));
   EXPECT_NE(findings.find("routes.r2"), std::string::npos) << findings;
-  EXPECT_FALSE(read(with("\"service\":\"s2\"}]", "\"service\":\"gone\"}]")));
-  EXPECT_FALSE(read(with("/b/", "/a/")));
-  EXPECT_FALSE(read(with("\"kind\":\"unsafe\"", "\"kind\":\"other\""), &findings));
+  EXPECT_FALSE(parse(with_replacement("\"service\":\"s2\"}]", "\"service\":\"gone\"}]")));
+  EXPECT_FALSE(parse(with_replacement("/b/", "/a/")));
+  EXPECT_FALSE(parse(with_replacement("\"kind\":\"unsafe\"", "\"kind\":\"other\""), &findings));
   EXPECT_NE(findings.find("routes[1].kind"), std::string::npos) << findings;
-  EXPECT_FALSE(read(with("\"version\":7", "\"version\":\"7\"")));
-  EXPECT_FALSE(read("[]"));
-  EXPECT_FALSE(read(""));
+  EXPECT_FALSE(parse(with_replacement("\"version\":7", "\"version\":\"7\"")));
+  EXPECT_FALSE(parse("[]"));
+  EXPECT_FALSE(parse(""));
 }
 
-TEST(PlatformBodies, ReadsHeartbeats) {
+TEST(PlatformBodies, ParsesHeartbeats) {
   const auto record = control::read_heartbeat(
       "i-1",
       R"({"service":"s","address":"10.0.0.9:8080","zone":"z","slots":48,"state":"draining","sequence":4,"version":"v2",
@@ -101,7 +103,7 @@
   EXPECT_FALSE(control::read_heartbeat("i-1", "{", body_names()));
 }
 
-TEST(PlatformBodies, ReadsWeightsReportsAndEvents) {
+TEST(PlatformBodies, ParsesWeightsReportsAndCacheEvents) {
   EXPECT_EQ(control::read_named_weights(R"({"model":"m","version":2})")->version, 2U);
   EXPECT_FALSE(control::read_named_weights(R"({"model":"m"})"));
   EXPECT_TRUE(control::read_report(R"({"busy":true,"sequence":2,"models":[]})", body_names())->busy);
--- a/tests/unit/ready_notice_test.cc
+++ b/tests/unit/ready_notice_test.cc
@@ -1,21 +1,21 @@
-/// When control hears that a router may serve.
+/// How soon the control plane learns that a router is ready.
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
 namespace {
 
-/// Statuses that are due come so rarely that none comes during a test.
-constexpr Duration kNoStatusDue = 60s;
+/// Interval of periodic statuses: so long that none is sent during the test.
+constexpr Duration kStatusInterval = 60s;
 
 class ReadyNoticeTest : public test::SmallFleet {
  protected:
-  ReadyNoticeTest() : SmallFleet(100, kNoStatusDue) {}
+  ReadyNoticeTest() : SmallFleet(100, kStatusInterval) {}
 };
 
-TEST_F(ReadyNoticeTest, ARouterTellsAtOnceThatItMayServe) {
+TEST_F(ReadyNoticeTest, RouterReportsReadinessImmediately) {
   ASSERT_TRUE(configure(make_configuration(1)));
   const auto ready = [this] {
-    return test::run_on(control_loop_, [this] { return control_->routers_for("z1", 64).size(); });
+    return test::run_on(control_loop_, [this] { return control_->ready_routers("z1", 64).size(); });
   };
   EXPECT_TRUE(wait_for([&] { return ready() == 1; }));
 }
--- a/tests/unit/zone_settings_test.cc
+++ b/tests/unit/zone_settings_test.cc
@@ -1,4 +1,4 @@
-// Routers and control members know the zones that their settings list.
+// Routers and control members read the zones from their settings.
 #include <gtest/gtest.h>
 
 #include "src/control/fleet_server.h"
@@ -9,7 +9,7 @@
 
 constexpr char kZones[] = R"(zones = ["north/a", "south/b"])";
 
-TEST(ZoneSettingsTest, ARouterAndItsLinkKnowTheZones) {
+TEST(ZoneSettingsTest, RouterAndItsControlLinkReadTheZones) {
   Findings findings;
   SettingsReader reader = SettingsReader::load("", {"name = \"r1\"", kZones}, findings);
   const gateway::GatewaySettings settings = gateway::read_gateway_settings(reader);
@@ -18,7 +18,7 @@
   EXPECT_EQ(settings.link.topology.distance("a", "b"), topology::Distance::kOtherRegion);
 }
 
-TEST(ZoneSettingsTest, AControlMemberKnowsTheZones) {
+TEST(ZoneSettingsTest, ControlMemberReadsTheZones) {
   Findings findings;
   SettingsReader reader =
       SettingsReader::load("", {"name = \"m1\"", "data_folder = \"/tmp\"", kZones}, findings);
