--- a/src/consensus/message.h
+++ b/src/consensus/message.h
@@ -61,14 +61,14 @@
 /// Kinds of peer messages.
 enum class MessageKind : uint8_t {
   kPreVote,  ///< would you vote for me? changes nothing at the receiver
-  kPreVoteAnswer,
+  kPreVoteResponse,
   kVote,
-  kVoteAnswer,
+  kVoteResponse,
   kAppend,  ///< entries after (log_index, log_term); empty ones are heartbeats
-  kAppendAnswer,
-  kSnapshotPiece,  ///< one piece of an encoded Snapshot
-  kSnapshotAnswer,
-  kElectNow,  ///< the leader hands over on a planned stop
+  kAppendResponse,
+  kSnapshotChunk,  ///< one piece of an encoded Snapshot
+  kSnapshotResponse,
+  kTimeoutNow,  ///< the leader hands over on a planned stop
 };
 
 /// One peer message. Which fields count depends on `kind`.
@@ -85,10 +85,10 @@
   bool granted = false;
   std::vector<Entry> entries;
   uint64_t offset = 0;      ///< of a snapshot piece; of an append's answer: the log_index that it answers
-  bool last_piece = false;  ///< of a snapshot piece
+  bool last_chunk = false;  ///< of a snapshot piece
   std::string bytes;        ///< of a snapshot piece
   MSGPACK_DEFINE_ARRAY(kind, from, to, term, log_index, log_term, commit, round, granted, entries, offset,
-                       last_piece, bytes)
+                       last_chunk, bytes)
 };
 
 }  // namespace stoat::consensus
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -41,7 +41,7 @@
   return static_cast<size_t>(voters) / 2 + 1;
 }
 
-void Replica::use_members(const MemberList& members) { members_ = members; }
+void Replica::set_members(const MemberList& members) { members_ = members; }
 
 void Replica::recompute_members() {
   members_ = snapshot_members_;
@@ -153,32 +153,32 @@
     return;
   }
   const bool is_vote_request = message.kind == MessageKind::kPreVote || message.kind == MessageKind::kVote;
-  const bool is_pre_vote_answer = message.kind == MessageKind::kPreVoteAnswer;
-  if (message.term > hard_state_.term && !is_vote_request && !(is_pre_vote_answer && message.granted)) {
+  const bool is_pre_vote_response = message.kind == MessageKind::kPreVoteResponse;
+  if (message.term > hard_state_.term && !is_vote_request && !(is_pre_vote_response && message.granted)) {
     become_follower(message.term, 0, now);
   }
   switch (message.kind) {
     case MessageKind::kPreVote:
     case MessageKind::kVote:
-      on_vote(message, now);
+      on_vote_request(message, now);
       break;
-    case MessageKind::kPreVoteAnswer:
-    case MessageKind::kVoteAnswer:
-      on_vote_answer(message, now);
+    case MessageKind::kPreVoteResponse:
+    case MessageKind::kVoteResponse:
+      on_vote_response(message, now);
       break;
     case MessageKind::kAppend:
       on_append(message, now);
       break;
-    case MessageKind::kAppendAnswer:
-      on_append_answer(message, now);
+    case MessageKind::kAppendResponse:
+      on_append_response(message, now);
       break;
-    case MessageKind::kSnapshotPiece:
-      on_snapshot_piece(message, now);
+    case MessageKind::kSnapshotChunk:
+      on_snapshot_chunk(message, now);
       break;
-    case MessageKind::kSnapshotAnswer:
-      on_snapshot_answer(message, now);
+    case MessageKind::kSnapshotResponse:
+      on_snapshot_response(message, now);
       break;
-    case MessageKind::kElectNow:
+    case MessageKind::kTimeoutNow:
       if (message.term == hard_state_.term && is_voter()) {
         start_election(false, true, now);
       }
@@ -186,40 +186,40 @@
   }
 }
 
-void Replica::on_vote(const Message& message, TimePoint now) {
+void Replica::on_vote_request(const Message& message, TimePoint now) {
   const bool pre_vote = message.kind == MessageKind::kPreVote;
   // A leader that is heard keeps its place: a member that was cut off can't unseat it by coming back.
-  const bool leader_is_heard =
+  const bool has_live_leader =
       role_ == Role::kLeader || (leader_ != 0 && now - last_leader_contact_ < options_.election_timeout);
-  const bool ignored = leader_is_heard && !message.granted;
-  Message answer =
-      make_message(pre_vote ? MessageKind::kPreVoteAnswer : MessageKind::kVoteAnswer, message.from);
+  const bool ignored = has_live_leader && !message.granted;
+  Message response =
+      make_message(pre_vote ? MessageKind::kPreVoteResponse : MessageKind::kVoteResponse, message.from);
   if (ignored || message.term < hard_state_.term) {
-    answer.granted = false;
-    output_.send_after_persist.push_back(answer);
+    response.granted = false;
+    output_.send_after_persist.push_back(response);
     return;
   }
   if (pre_vote) {
-    answer.granted = message.term > hard_state_.term && log_is_current(message);
-    answer.term = answer.granted ? message.term : hard_state_.term;
-    output_.send_after_persist.push_back(answer);
+    response.granted = message.term > hard_state_.term && log_is_current(message);
+    response.term = response.granted ? message.term : hard_state_.term;
+    output_.send_after_persist.push_back(response);
     return;
   }
   if (message.term > hard_state_.term) {
     become_follower(message.term, 0, now);
   }
   const bool free_to_vote = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
-  answer.granted = free_to_vote && log_is_current(message);
-  if (answer.granted) {
+  response.granted = free_to_vote && log_is_current(message);
+  if (response.granted) {
     set_term(hard_state_.term, message.from);
     reset_election_deadline(now);
   }
-  answer.term = hard_state_.term;
-  output_.send_after_persist.push_back(answer);
+  response.term = hard_state_.term;
+  output_.send_after_persist.push_back(response);
 }
 
-void Replica::on_vote_answer(const Message& message, TimePoint now) {
-  const bool pre_vote = message.kind == MessageKind::kPreVoteAnswer;
+void Replica::on_vote_response(const Message& message, TimePoint now) {
+  const bool pre_vote = message.kind == MessageKind::kPreVoteResponse;
   const Role expected_role = pre_vote ? Role::kPreCandidate : Role::kCandidate;
   const uint64_t expected_term = pre_vote ? hard_state_.term + 1 : hard_state_.term;
   if (role_ != expected_role || !message.granted || message.term != expected_term) {
@@ -242,18 +242,18 @@
   }
 }
 
-void Replica::answer_append(const Message& request, bool granted, uint64_t index) {
-  Message answer = make_message(MessageKind::kAppendAnswer, request.from);
-  answer.granted = granted;
-  answer.log_index = index;
-  answer.round = request.round;
-  answer.offset = request.log_index;
-  output_.send_after_persist.push_back(answer);
+void Replica::respond_to_append(const Message& request, bool granted, uint64_t index) {
+  Message response = make_message(MessageKind::kAppendResponse, request.from);
+  response.granted = granted;
+  response.log_index = index;
+  response.round = request.round;
+  response.offset = request.log_index;
+  output_.send_after_persist.push_back(response);
 }
 
 void Replica::on_append(const Message& message, TimePoint now) {
   if (message.term < hard_state_.term) {
-    answer_append(message, false, 0);
+    respond_to_append(message, false, 0);
     return;
   }
   if (role_ != Role::kFollower || leader_ != message.from) {
@@ -264,18 +264,18 @@
   reset_election_deadline(now);
   if (message.log_index < log_.snapshot_index()) {
     // Everything up to the snapshot is committed and so matches.
-    answer_append(message, true, log_.snapshot_index());
+    respond_to_append(message, true, log_.snapshot_index());
     return;
   }
   if (!log_.holds(message.log_index) || log_.term_at(message.log_index) != message.log_term) {
     const uint64_t hint = std::min(log_.last_index(), message.log_index == 0 ? 0 : message.log_index - 1);
-    answer_append(message, false, std::max(hint, log_.snapshot_index()));
+    respond_to_append(message, false, std::max(hint, log_.snapshot_index()));
     return;
   }
   store_entries(message);
   const uint64_t match = message.log_index + message.entries.size();
   advance_commit_to(std::min(message.commit, match));
-  answer_append(message, true, match);
+  respond_to_append(message, true, match);
 }
 
 void Replica::store_entries(const Message& message) {
@@ -301,7 +301,7 @@
 void Replica::append_entry(Entry entry) {
   if (entry.kind == EntryKind::kMembers) {
     if (auto list = wire::decode<MemberList>(entry.payload)) {
-      use_members(*list);
+      set_members(*list);
     }
   }
   output_.append.push_back(entry);
@@ -315,9 +315,9 @@
   }
 }
 
-void Replica::on_snapshot_piece(const Message& message, TimePoint now) {
+void Replica::on_snapshot_chunk(const Message& message, TimePoint now) {
   if (message.term < hard_state_.term) {
-    answer_append(message, false, 0);
+    respond_to_append(message, false, 0);
     return;
   }
   if (role_ != Role::kFollower || leader_ != message.from) {
@@ -333,17 +333,17 @@
   }
   if (message.offset == snapshot_buffer_.size()) {
     snapshot_buffer_ += message.bytes;
-    if (message.last_piece) {
+    if (message.last_chunk) {
       install_snapshot(now);
     }
   }
-  Message answer = make_message(MessageKind::kSnapshotAnswer, message.from);
-  answer.round = message.round;
-  answer.offset = snapshot_buffer_.size();
-  answer.log_term = message.log_index;
+  Message response = make_message(MessageKind::kSnapshotResponse, message.from);
+  response.round = message.round;
+  response.offset = snapshot_buffer_.size();
+  response.log_term = message.log_index;
   // What is committed here matches the leader's log, also where it goes beyond the snapshot that was sent.
-  answer.log_index = commit_;
-  output_.send_after_persist.push_back(answer);
+  response.log_index = commit_;
+  output_.send_after_persist.push_back(response);
 }
 
 void Replica::install_snapshot(TimePoint) {
@@ -364,7 +364,7 @@
   commit_ = snapshot->index;
   persisted_index_ = snapshot->index;
   snapshot_members_ = snapshot->members;
-  use_members(snapshot->members);
+  set_members(snapshot->members);
   output_.append.clear();
   output_.committed.clear();
   output_.truncate_from = 0;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -53,7 +53,13 @@
 };
 
 /// Why a proposal was not taken.
-enum class ProposeError : uint8_t { kNone, kNotLeader, kChangePending, kTooManyAtOnce, kListedTwice };
+enum class ProposeError : uint8_t {
+  kNone,
+  kNotLeader,
+  kChangePending,
+  kInvalidVoterChange,
+  kDuplicateMember
+};
 
 /// See the head of this file.
 class Replica {
@@ -115,7 +121,7 @@
     uint64_t next = 1;
     size_t inflight = 0;
     uint64_t confirmed_round = 0;
-    TimePoint last_answer{0};
+    TimePoint last_response{0};
     TimePoint last_sent{0};
     bool probing = false;  ///< looking for where the logs part; one append at a time
     bool sending_snapshot = false;
@@ -133,12 +139,12 @@
   void become_leader(TimePoint now);
   void reset_election_deadline(TimePoint now);
   bool log_is_current(const Message& message) const;
-  void on_vote(const Message& message, TimePoint now);
-  void on_vote_answer(const Message& message, TimePoint now);
+  void on_vote_request(const Message& message, TimePoint now);
+  void on_vote_response(const Message& message, TimePoint now);
   void on_append(const Message& message, TimePoint now);
-  void on_snapshot_piece(const Message& message, TimePoint now);
+  void on_snapshot_chunk(const Message& message, TimePoint now);
   void install_snapshot(TimePoint now);
-  void answer_append(const Message& request, bool granted, uint64_t index);
+  void respond_to_append(const Message& request, bool granted, uint64_t index);
   void store_entries(const Message& message);
   void append_entry(Entry entry);
   void truncate_log(uint64_t index);
@@ -147,10 +153,10 @@
   Message make_message(MessageKind kind, MemberId to) const;
 
   // replica_leader.cc: what a leader does
-  void on_append_answer(const Message& message, TimePoint now);
-  void on_snapshot_answer(const Message& message, TimePoint now);
+  void on_append_response(const Message& message, TimePoint now);
+  void on_snapshot_response(const Message& message, TimePoint now);
   void send_append(MemberId member, Progress& progress, bool heartbeat, TimePoint now);
-  void send_snapshot_piece(MemberId member, Progress& progress, TimePoint now);
+  void send_snapshot_chunk(MemberId member, Progress& progress, TimePoint now);
   void broadcast_append(TimePoint now);
   void heartbeat(TimePoint now);
   void update_commit();
@@ -159,7 +165,7 @@
   void adjust_progress(TimePoint now);
   size_t quorum_size() const;
 
-  void use_members(const MemberList& members);
+  void set_members(const MemberList& members);
   void recompute_members();
 
   ReplicaOptions options_;
@@ -184,7 +190,7 @@
   std::map<MemberId, Progress> progress_;
   std::vector<PendingRead> reads_;
   uint64_t round_ = 0;
-  std::map<uint64_t, TimePoint> round_started_;
+  std::map<uint64_t, TimePoint> round_started_at_;
   TimePoint next_heartbeat_{0};
   uint64_t term_start_index_ = 0;
 
--- a/src/consensus/replica_leader.cc
+++ b/src/consensus/replica_leader.cc
@@ -11,7 +11,7 @@
   leader_ = options_.id;
   progress_.clear();
   reads_.clear();
-  round_started_.clear();
+  round_started_at_.clear();
   // An entry of the new term commits what earlier terms left behind.
   Entry entry;
   entry.index = log_.last_index() + 1;
@@ -35,7 +35,7 @@
     }
     Progress fresh;
     fresh.next = log_.last_index() + 1;
-    fresh.last_answer = now;
+    fresh.last_response = now;
     adjusted[member.id] = fresh;
   }
   progress_ = std::move(adjusted);
@@ -70,7 +70,7 @@
   std::set<MemberId> all;
   for (const Member& member : members.members) {
     if (!all.insert(member.id).second) {
-      return ProposeError::kListedTwice;
+      return ProposeError::kDuplicateMember;
     }
   }
   for (const Member& member : members_.members) {
@@ -87,7 +87,7 @@
   std::set_symmetric_difference(before.begin(), before.end(), after.begin(), after.end(),
                                 std::back_inserter(changed));
   if (changed.size() > 1 || after.empty()) {
-    return ProposeError::kTooManyAtOnce;
+    return ProposeError::kInvalidVoterChange;
   }
   Entry entry;
   entry.index = log_.last_index() + 1;
@@ -104,7 +104,7 @@
   if (progress.next <= log_.snapshot_index() && encoded_snapshot_ != nullptr) {
     if (!progress.sending_snapshot || heartbeat) {
       progress.sending_snapshot = true;
-      send_snapshot_piece(member, progress, now);
+      send_snapshot_chunk(member, progress, now);
     }
     return;
   }
@@ -129,8 +129,8 @@
   output_.send_now.push_back(std::move(message));
 }
 
-void Replica::send_snapshot_piece(MemberId member, Progress& progress, TimePoint now) {
-  Message message = make_message(MessageKind::kSnapshotPiece, member);
+void Replica::send_snapshot_chunk(MemberId member, Progress& progress, TimePoint now) {
+  Message message = make_message(MessageKind::kSnapshotChunk, member);
   if (progress.snapshot_offset > encoded_snapshot_->size()) {
     progress.snapshot_offset = 0;
   }
@@ -138,18 +138,18 @@
   message.log_index = log_.snapshot_index();
   message.offset = progress.snapshot_offset;
   message.bytes = encoded_snapshot_->substr(progress.snapshot_offset, options_.snapshot_piece_bytes);
-  message.last_piece = progress.snapshot_offset + message.bytes.size() == encoded_snapshot_->size();
+  message.last_chunk = progress.snapshot_offset + message.bytes.size() == encoded_snapshot_->size();
   progress.last_sent = now;
   output_.send_now.push_back(std::move(message));
 }
 
-void Replica::on_snapshot_answer(const Message& message, TimePoint now) {
+void Replica::on_snapshot_response(const Message& message, TimePoint now) {
   const auto found = progress_.find(message.from);
   if (role_ != Role::kLeader || message.term != hard_state_.term || found == progress_.end()) {
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now;
+  progress.last_response = now;
   progress.confirmed_round = std::max(progress.confirmed_round, message.round);
   confirm_reads();
   if (!progress.sending_snapshot) {
@@ -170,12 +170,12 @@
   // Only an answer that brings the transfer on makes the next piece go out at once. Were every answer to do
   // so, messages that the network doubles would double for ever; what is lost goes out again with the next
   // heartbeat.
-  const bool brings_on = message.offset > progress.snapshot_offset;
-  if (brings_on || message.round == round_) {
+  const bool advances = message.offset > progress.snapshot_offset;
+  if (advances || message.round == round_) {
     progress.snapshot_offset = message.offset;
   }
-  if (brings_on) {
-    send_snapshot_piece(message.from, progress, now);
+  if (advances) {
+    send_snapshot_chunk(message.from, progress, now);
   }
 }
 
@@ -188,11 +188,11 @@
 
 void Replica::heartbeat(TimePoint now) {
   ++round_;
-  round_started_[round_] = now;
+  round_started_at_[round_] = now;
   next_heartbeat_ = now + options_.heartbeat_interval;
   for (auto& [member, progress] : progress_) {
-    const bool answers_stopped = now - progress.last_answer > options_.heartbeat_interval * 3;
-    if (answers_stopped && !progress.sending_snapshot) {
+    const bool stopped_responding = now - progress.last_response > options_.heartbeat_interval * 3;
+    if (stopped_responding && !progress.sending_snapshot) {
       // What was under way may be lost: go back to what is known to match.
       progress.next = progress.match + 1;
       progress.inflight = 0;
@@ -204,13 +204,13 @@
   confirm_reads();
 }
 
-void Replica::on_append_answer(const Message& message, TimePoint now) {
+void Replica::on_append_response(const Message& message, TimePoint now) {
   const auto found = progress_.find(message.from);
   if (role_ != Role::kLeader || message.term != hard_state_.term || found == progress_.end()) {
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now;
+  progress.last_response = now;
   progress.inflight -= progress.inflight > 0 ? 1 : 0;
   progress.confirmed_round = std::max(progress.confirmed_round, message.round);
   confirm_reads();
@@ -261,10 +261,10 @@
     return;
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
-  const uint64_t agreed = matches[quorum_size() - 1];
+  const uint64_t quorum_match = matches[quorum_size() - 1];
   // Only an entry of the own term may be counted; it commits all before it.
-  if (agreed > commit_ && log_.term_at(agreed) == hard_state_.term) {
-    advance_commit_to(agreed);
+  if (quorum_match > commit_ && log_.term_at(quorum_match) == hard_state_.term) {
+    advance_commit_to(quorum_match);
   }
 }
 
@@ -292,10 +292,10 @@
   }
   std::sort(rounds.begin(), rounds.end(), std::greater<>());
   const uint64_t confirmed = rounds[quorum_size() - 1];
-  const auto started = round_started_.find(confirmed);
-  if (started != round_started_.end()) {
+  const auto started = round_started_at_.find(confirmed);
+  if (started != round_started_at_.end()) {
     quorum_confirmed_at_ = std::max(quorum_confirmed_at_, started->second);
-    round_started_.erase(round_started_.begin(), started);
+    round_started_at_.erase(round_started_at_.begin(), started);
   }
   while (!reads_.empty() && reads_.front().round <= confirmed) {
     output_.confirmed_reads.push_back(reads_.front().read_id);
@@ -304,22 +304,22 @@
 }
 
 void Replica::check_quorum(TimePoint now) {
-  size_t heard = 0;
+  size_t active = 0;
   for (const Member& member : members_.members) {
     if (!member.voter) {
       continue;
     }
     const bool self = member.id == options_.id;
-    heard += (self || now - progress_[member.id].last_answer < options_.election_timeout) ? 1 : 0;
+    active += (self || now - progress_[member.id].last_response < options_.election_timeout) ? 1 : 0;
   }
-  if (heard < quorum_size()) {
+  if (active < quorum_size()) {
     become_follower(hard_state_.term, 0, now);
   }
 }
 
 TimePoint Replica::last_answer_of(MemberId member) const {
   const auto found = progress_.find(member);
-  return found == progress_.end() ? TimePoint(0) : found->second.last_answer;
+  return found == progress_.end() ? TimePoint(0) : found->second.last_response;
 }
 
 bool Replica::hand_over(TimePoint now) {
@@ -342,7 +342,7 @@
     heartbeat(now);
     return false;
   }
-  output_.send_now.push_back(make_message(MessageKind::kElectNow, best));
+  output_.send_now.push_back(make_message(MessageKind::kTimeoutNow, best));
   return true;
 }
 
--- a/src/fleet/backend_registry.cc
+++ b/src/fleet/backend_registry.cc
@@ -10,22 +10,22 @@
 namespace {
 
 /// Reports of routers that can't reach a back end count for so long.
-constexpr Duration kReportWindow = 2s;
+constexpr Duration kUnreachableReportWindow = 2s;
 /// A back end's first heartbeat after its start has this sequence.
 constexpr uint64_t kFirstSequence = 1;
 /// So many routers must agree.
-constexpr int kReportsToLose = 2;
+constexpr int kMinUnreachableReports = 2;
 
 }  // namespace
 
 uint64_t mark_key(const std::string& id) { return hash_bytes(id); }
 
 bool BackendRegistry::on_heartbeat(const BackendRecord& record, TimePoint now) {
-  const auto known = seen_.find(record.id);
-  if (known != seen_.end() && record.sequence <= known->second.record.sequence) {
+  const auto known = tracked_.find(record.id);
+  if (known != tracked_.end() && record.sequence <= known->second.record.sequence) {
     return false;
   }
-  if (!credible(record)) {
+  if (!is_acceptable(record)) {
     return false;
   }
   const auto superseded = superseded_.find(record.id);
@@ -36,25 +36,25 @@
   updated.lost = false;
   const auto retired = retired_.find(record.id);
   if (retired != retired_.end()) {
-    if (known == seen_.end() && retired->second == BackendState::kGone) {
+    if (known == tracked_.end() && retired->second == BackendState::kGone) {
       return false;  // a late heartbeat of a back end that has ended
     }
     updated.state = std::max(updated.state, retired->second);
   }
-  if (known != seen_.end()) {
+  if (known != tracked_.end()) {
     updated.loading = known->second.record.loading;
     // A heartbeat may have been on its way while new weights were loaded; within one start they only go up.
     for (ModelVersion& entry : updated.models) {
       entry.version = std::max(entry.version, known->second.record.version_of(entry.model));
     }
     updated.state = std::max(updated.state, known->second.record.state);
-    settle_address(record.id, now);
+    confirm_address(record.id, now);
   } else {
-    replace_former(record);
-    take_address(record, now);
+    replace_previous_incarnation(record);
+    claim_address(record, now);
   }
-  seen_[record.id] = Seen{updated, now, {}};
-  ids_[mark_key(record.id)] = record.id;
+  tracked_[record.id] = TrackedBackend{updated, now, {}};
+  id_by_key_[mark_key(record.id)] = record.id;
   publish(updated);
   return true;
 }
@@ -64,19 +64,19 @@
   return known != nullptr && (known->service != record.service || known->address != record.address);
 }
 
-bool BackendRegistry::credible(const BackendRecord& record) const {
+bool BackendRegistry::is_acceptable(const BackendRecord& record) const {
   if (contradicts(record)) {
     return false;
   }
-  const auto newest = newest_.find(backend_name(record.id));
-  return newest == newest_.end() || started_ms(record.id) >= started_ms(newest->second);
+  const auto newest = newest_incarnation_.find(backend_name(record.id));
+  return newest == newest_incarnation_.end() || started_ms(record.id) >= started_ms(newest->second);
 }
 
-void BackendRegistry::replace_former(const BackendRecord& record) {
+void BackendRegistry::replace_previous_incarnation(const BackendRecord& record) {
   if (started_ms(record.id) == 0) {
     return;
   }
-  std::string& newest = newest_[std::string(backend_name(record.id))];
+  std::string& newest = newest_incarnation_[std::string(backend_name(record.id))];
   if (!newest.empty() && newest != record.id) {
     retired_[newest] = BackendState::kGone;
     drop(newest);
@@ -84,25 +84,25 @@
   newest = record.id;
 }
 
-void BackendRegistry::forget_name(const std::string& id) {
-  const auto newest = newest_.find(backend_name(id));
-  if (newest != newest_.end() && newest->second == id) {
-    newest_.erase(newest);
+void BackendRegistry::forget_incarnation(const std::string& id) {
+  const auto newest = newest_incarnation_.find(backend_name(id));
+  if (newest != newest_incarnation_.end() && newest->second == id) {
+    newest_incarnation_.erase(newest);
   }
 }
 
 void BackendRegistry::drop(const std::string& id) {
-  const auto known = seen_.find(id);
-  if (known == seen_.end()) {
+  const auto known = tracked_.find(id);
+  if (known == tracked_.end()) {
     return;
   }
   const std::string& address = known->second.record.address;
   if (!address_taken(address, id)) {
-    at_address_.erase(address);
+    id_by_address_.erase(address);
   }
   table_.erase(id);
-  ids_.erase(mark_key(id));
-  seen_.erase(known);
+  id_by_key_.erase(mark_key(id));
+  tracked_.erase(known);
 }
 
 MarkResult BackendRegistry::on_mark(uint64_t key, uint64_t sequence, TimePoint now) {
@@ -112,54 +112,54 @@
   }
   BackendRecord record = *known;
   record.sequence = sequence;
-  return on_heartbeat(record, now) ? MarkResult::kTaken : MarkResult::kLate;
+  return on_heartbeat(record, now) ? MarkResult::kTaken : MarkResult::kStale;
 }
 
-void BackendRegistry::take_address(const BackendRecord& record, TimePoint now) {
+void BackendRegistry::claim_address(const BackendRecord& record, TimePoint now) {
   superseded_.erase(record.id);
   if (address_taken(record.address, record.id)) {
-    const std::string holder = at_address_.at(record.address);
+    const std::string holder = id_by_address_.at(record.address);
     if (record.sequence <= kFirstSequence) {
       retired_[holder] = BackendState::kGone;  // this one has just started
     } else {
-      superseded_[holder] = Superseded{seen_.at(holder).record.sequence, record.id, now};
+      superseded_[holder] = Superseded{tracked_.at(holder).record.sequence, record.id, now};
     }
     drop(holder);
   }
-  at_address_[record.address] = record.id;
+  id_by_address_[record.address] = record.id;
 }
 
-void BackendRegistry::settle_address(const std::string& id, TimePoint now) {
+void BackendRegistry::confirm_address(const std::string& id, TimePoint now) {
   std::erase_if(superseded_, [&](const auto& entry) {
-    const bool settled = entry.second.by == id && now - entry.second.at > options_.overdue_after;
-    if (settled) {
+    const bool confirmed = entry.second.by == id && now - entry.second.at > options_.overdue_after;
+    if (confirmed) {
       retired_[entry.first] = BackendState::kGone;
     }
-    return settled;
+    return confirmed;
   });
 }
 
 void BackendRegistry::retire(const std::string& id, BackendState state) {
   BackendState& retired = retired_.emplace(id, state).first->second;
   retired = std::max(retired, state);
-  const auto known = seen_.find(id);
-  if (known != seen_.end()) {
+  const auto known = tracked_.find(id);
+  if (known != tracked_.end()) {
     known->second.record.state = std::max(known->second.record.state, state);
     publish(known->second.record);
   }
 }
 
 void BackendRegistry::set_loading(const std::string& id, bool loading) {
-  const auto known = seen_.find(id);
-  if (known != seen_.end() && known->second.record.loading != loading) {
+  const auto known = tracked_.find(id);
+  if (known != tracked_.end() && known->second.record.loading != loading) {
     known->second.record.loading = loading;
     publish(known->second.record);
   }
 }
 
 void BackendRegistry::set_version(const std::string& id, const std::string& model, uint64_t version) {
-  const auto known = seen_.find(id);
-  if (known == seen_.end()) {
+  const auto known = tracked_.find(id);
+  if (known == tracked_.end()) {
     return;
   }
   for (ModelVersion& entry : known->second.record.models) {
@@ -173,37 +173,38 @@
 void BackendRegistry::expire(TimePoint now) {
   std::erase_if(superseded_,
                 [&](const auto& entry) { return now - entry.second.at > options_.forget_after; });
-  for (auto position = seen_.begin(); position != seen_.end();) {
-    Seen& seen = position->second;
-    if (now - seen.at > options_.forget_after) {
+  for (auto position = tracked_.begin(); position != tracked_.end();) {
+    TrackedBackend& tracked = position->second;
+    if (now - tracked.at > options_.forget_after) {
       const std::string id = (position++)->first;
-      forget_name(id);
+      forget_incarnation(id);
       drop(id);
       continue;
     }
-    if (!seen.record.lost && lost(seen, now)) {
-      seen.record.lost = true;
-      publish(seen.record);
+    if (!tracked.record.lost && lost(tracked, now)) {
+      tracked.record.lost = true;
+      publish(tracked.record);
     }
     ++position;
   }
 }
 
 void BackendRegistry::note_unreachable(const std::string& id, const std::string& router, TimePoint now) {
-  const auto known = seen_.find(id);
-  if (known != seen_.end()) {
+  const auto known = tracked_.find(id);
+  if (known != tracked_.end()) {
     known->second.unreachable[router] = now;
   }
 }
 
-bool BackendRegistry::lost(const Seen& seen, TimePoint now) const {
-  const Duration silence = now - seen.at;
+bool BackendRegistry::lost(const TrackedBackend& tracked, TimePoint now) const {
+  const Duration silence = now - tracked.at;
   if (silence <= options_.overdue_after) {
     return false;
   }
-  const auto routers = std::count_if(seen.unreachable.begin(), seen.unreachable.end(),
-                                     [&](const auto& entry) { return now - entry.second <= kReportWindow; });
-  return silence > options_.lost_after || routers >= kReportsToLose;
+  const auto routers =
+      std::count_if(tracked.unreachable.begin(), tracked.unreachable.end(),
+                    [&](const auto& entry) { return now - entry.second <= kUnreachableReportWindow; });
+  return silence > options_.lost_after || routers >= kMinUnreachableReports;
 }
 
 void BackendRegistry::publish(const BackendRecord& record) {
@@ -214,31 +215,31 @@
 
 std::vector<BackendRecord> BackendRegistry::records() const {
   std::vector<BackendRecord> list;
-  list.reserve(seen_.size());
-  for (const auto& [id, seen] : seen_) {
-    list.push_back(seen.record);
+  list.reserve(tracked_.size());
+  for (const auto& [id, tracked] : tracked_) {
+    list.push_back(tracked.record);
   }
   return list;
 }
 
 bool BackendRegistry::heard_since(const std::string& id, TimePoint since) const {
-  const auto known = seen_.find(id);
-  return known != seen_.end() && known->second.at >= since;
+  const auto known = tracked_.find(id);
+  return known != tracked_.end() && known->second.at >= since;
 }
 
 const BackendRecord* BackendRegistry::find_by_name(const std::string& name) const {
-  const auto newest = newest_.find(name);
-  return newest == newest_.end() ? find(name) : find(newest->second);
+  const auto newest = newest_incarnation_.find(name);
+  return newest == newest_incarnation_.end() ? find(name) : find(newest->second);
 }
 
 const BackendRecord* BackendRegistry::find_by_key(uint64_t key) const {
-  const auto id = ids_.find(key);
-  return id == ids_.end() ? nullptr : find(id->second);
+  const auto id = id_by_key_.find(key);
+  return id == id_by_key_.end() ? nullptr : find(id->second);
 }
 
 const BackendRecord* BackendRegistry::find(const std::string& id) const {
-  const auto known = seen_.find(id);
-  return known == seen_.end() ? nullptr : &known->second.record;
+  const auto known = tracked_.find(id);
+  return known == tracked_.end() ? nullptr : &known->second.record;
 }
 
 }  // namespace stoat::fleet
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -25,7 +25,7 @@
 /// What became of a mark that a back end lives.
 enum class MarkResult : uint8_t {
   kTaken,
-  kLate,     ///< a later heartbeat is known
+  kStale,    ///< a later heartbeat is known
   kUnknown,  ///< no such back end is known: the mark alone does not tell what it is
 };
 
@@ -63,8 +63,8 @@
   const BackendRecord* find_by_name(const std::string& name) const;
   /// True when another back end than `id` is known at an address.
   bool address_taken(const std::string& address, const std::string& id) const {
-    const auto holder = at_address_.find(address);
-    return holder != at_address_.end() && holder->second != id;
+    const auto holder = id_by_address_.find(address);
+    return holder != id_by_address_.end() && holder->second != id;
   }
   /// True when a heartbeat of it came no longer ago than `since`.
   bool heard_since(const std::string& id, TimePoint since) const;
@@ -72,19 +72,19 @@
   const RevisionTable<std::string, BackendRecord>& table() const { return table_; }
 
  private:
-  struct Seen {
+  struct TrackedBackend {
     BackendRecord record;
     TimePoint at{0};
     std::map<std::string, TimePoint> unreachable;  ///< by router: when it last could not reach the back end
   };
-  bool lost(const Seen& seen, TimePoint now) const;
+  bool lost(const TrackedBackend& tracked, TimePoint now) const;
   /// False for a heartbeat of an incarnation before the newest one of its back end, and for one that
   /// contradicts what is known.
-  bool credible(const BackendRecord& record) const;
+  bool is_acceptable(const BackendRecord& record) const;
   /// Lets the newest incarnation of a back end take the place of the one before.
-  void replace_former(const BackendRecord& record);
+  void replace_previous_incarnation(const BackendRecord& record);
   /// A back end that is forgotten may be taken for new again, whenever it started.
-  void forget_name(const std::string& id);
+  void forget_incarnation(const std::string& id);
   /// Drops a back end from all tables but the memory of those that have ended.
   void drop(const std::string& id);
   /// A back end whose address another one has taken, not with the first heartbeat of its life. Which of the
@@ -95,19 +95,19 @@
     TimePoint at{0};
   };
   /// Lets a back end take its address from whoever has it.
-  void take_address(const BackendRecord& record, TimePoint now);
+  void claim_address(const BackendRecord& record, TimePoint now);
   /// A back end that has lived on for longer than a heartbeat is the only one at its address for good.
-  void settle_address(const std::string& id, TimePoint now);
+  void confirm_address(const std::string& id, TimePoint now);
   void publish(const BackendRecord& record);
 
   RegistryOptions options_;
-  std::map<std::string, Seen> seen_;
-  std::unordered_map<uint64_t, std::string> ids_;  ///< of those in `seen_`, by mark_key()
+  std::map<std::string, TrackedBackend> tracked_;
+  std::unordered_map<uint64_t, std::string> id_by_key_;  ///< of those in `seen_`, by mark_key()
   /// The same, by address. Without it each of N back ends that register was compared with all others.
-  std::unordered_map<std::string, std::string> at_address_;
+  std::unordered_map<std::string, std::string> id_by_address_;
   std::map<std::string, Superseded> superseded_;
   std::map<std::string, std::string, std::less<>>
-      newest_;  ///< id of those in `seen_` that tell their start, by name
+      newest_incarnation_;  ///< id of those in `seen_` that tell their start, by name
   std::map<std::string, BackendState> retired_;
   RevisionTable<std::string, BackendRecord> table_;
 };
--- a/src/fleet/fleet_configuration.cc
+++ b/src/fleet/fleet_configuration.cc
@@ -17,26 +17,26 @@
 }
 
 void check_route(const Route& route, const std::set<std::string>& services, Findings& findings) {
-  const std::string place = "routes." + route.name;
+  const std::string setting_key = "routes." + route.name;
   uint64_t weight = 0;
   for (const ServiceShare& share : route.shares) {
     weight += share.weight;
     if (services.count(share.service) == 0) {
-      add(findings, place, "unknown service '" + share.service + "'");
+      add(findings, setting_key, "unknown service '" + share.service + "'");
     }
   }
   if (weight == 0) {
-    add(findings, place, "the weights add up to 0");
+    add(findings, setting_key, "the weights add up to 0");
   }
   if (route.timeout_ms <= 0) {
-    add(findings, place, "the time-out must be above 0");
+    add(findings, setting_key, "the time-out must be above 0");
   }
 }
 
-void check_places(const std::vector<Route>& routes, Findings& findings) {
-  std::set<std::pair<std::string, std::string>> places;
+void check_duplicate_routes(const std::vector<Route>& routes, Findings& findings) {
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   for (const Route& route : routes) {
-    if (!places.emplace(route.host, route.path_prefix).second) {
+    if (!host_prefixes.emplace(route.host, route.path_prefix).second) {
       add(findings, "routes." + route.name, "another route has the same host and path prefix");
     }
   }
@@ -57,12 +57,12 @@
 void check_quotas(const std::vector<Tenant>& tenants, Findings& findings) {
   const auto valid = [](double amount) { return std::isfinite(amount) && amount >= 0; };
   for (const Tenant& tenant : tenants) {
-    const std::string place = "tenants." + tenant.name + ".quota";
+    const std::string setting_key = "tenants." + tenant.name + ".quota";
     if (!valid(tenant.quota.per_second)) {
-      add(findings, place, "the rate must be a number of 0 or more");
+      add(findings, setting_key, "the rate must be a number of 0 or more");
     }
     if (!valid(tenant.quota.burst)) {
-      add(findings, place, "the burst must be a number of 0 or more");
+      add(findings, setting_key, "the burst must be a number of 0 or more");
     }
   }
 }
@@ -82,7 +82,7 @@
   for (const Route& route : configuration.routes) {
     check_route(route, services, findings);
   }
-  check_places(configuration.routes, findings);
+  check_duplicate_routes(configuration.routes, findings);
   check_keys(configuration.tenants, findings);
   check_quotas(configuration.tenants, findings);
 }
--- a/src/fleet/fleet_state.cc
+++ b/src/fleet/fleet_state.cc
@@ -48,13 +48,13 @@
   }
   const auto last = rollouts_.find(command.service);
   if (last != rollouts_.end()) {
-    const ServiceRollout& before = last->second;
-    const bool same = before.target_version == command.target_version;
-    if (!before.final()) {
+    const ServiceRollout& previous = last->second;
+    const bool same = previous.target_version == command.target_version;
+    if (!previous.final()) {
       return same ? RolloutVerdict::kTaken : RolloutVerdict::kUnderWay;
     }
-    const bool repeated = command.accepted_at_ms - before.accepted_at_ms < kRepeatedOrderMs;
-    if (same && (before.phase == RolloutPhase::kCompleted || repeated)) {
+    const bool repeated = command.accepted_at_ms - previous.accepted_at_ms < kRepeatedOrderWindowMs;
+    if (same && (previous.phase == RolloutPhase::kCompleted || repeated)) {
       return RolloutVerdict::kTaken;
     }
   }
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -45,7 +45,7 @@
 
 /// An order that comes so long after the same one was taken is a new one; before, the same again, whose
 /// acknowledgement was lost. Operators repeat orders for some seconds only.
-inline constexpr int64_t kRepeatedOrderMs = 10000;
+inline constexpr int64_t kRepeatedOrderWindowMs = 10000;
 
 /// How the state took an order of a rollout.
 enum class RolloutVerdict : uint8_t {
--- a/src/fleet/revision_table.h
+++ b/src/fleet/revision_table.h
@@ -15,7 +15,7 @@
 class RevisionTable {
  public:
   /// `erased_limit`: how many erased keys are remembered.
-  explicit RevisionTable(size_t erased_limit = kErasedLimit) : erased_limit_(erased_limit) {}
+  explicit RevisionTable(size_t erased_limit = kDefaultErasedLimit) : erased_limit_(erased_limit) {}
 
   /// Sets a value. Returns true when it differs from the one held.
   bool set(const Key& key, const Value& value) {
@@ -27,7 +27,7 @@
       ++size_;
     }
     entry.value = value;
-    touch(key, entry);
+    record_change(key, entry);
     return true;
   }
 
@@ -39,9 +39,9 @@
     }
     found->second.value.reset();
     --size_;
-    touch(key, found->second);
-    erased_.insert(revision_);
-    forget_erased();
+    record_change(key, found->second);
+    erased_revisions_.insert(revision_);
+    evict_erased();
     return true;
   }
 
@@ -54,7 +54,7 @@
   size_t size() const { return size_; }
   uint64_t revision() const { return revision_; }
   /// True when a receiver at this revision can be brought up to date by differences.
-  bool reaches(uint64_t revision) const { return revision == 0 || revision >= floor_; }
+  bool reaches(uint64_t revision) const { return revision == 0 || revision >= newest_evicted_revision_; }
 
   /// Calls `visit(key, value)` for at most `limit` entries that changed after `revision`, in the order of
   /// their last change; `value` is nullptr for an erased one. Returns the revision that the receiver has
@@ -62,7 +62,8 @@
   template <typename Visitor>
   uint64_t visit_since(uint64_t revision, size_t limit, const Visitor& visit) const {
     size_t visited = 0;
-    for (auto position = order_.upper_bound(revision); position != order_.end(); ++position) {
+    for (auto position = key_by_revision_.upper_bound(revision); position != key_by_revision_.end();
+         ++position) {
       if (visited == limit) {
         return std::prev(position)->first;
       }
@@ -84,38 +85,38 @@
   }
 
  private:
-  static constexpr size_t kErasedLimit = 8192;
+  static constexpr size_t kDefaultErasedLimit = 8192;
   struct Entry {
     std::optional<Value> value;
     uint64_t revision = 0;
   };
 
-  void touch(const Key& key, Entry& entry) {
+  void record_change(const Key& key, Entry& entry) {
     if (entry.revision != 0) {
-      order_.erase(entry.revision);
-      erased_.erase(entry.revision);
+      key_by_revision_.erase(entry.revision);
+      erased_revisions_.erase(entry.revision);
     }
     entry.revision = ++revision_;
-    order_.emplace(revision_, key);
+    key_by_revision_.emplace(revision_, key);
   }
 
-  void forget_erased() {
-    while (erased_.size() > erased_limit_) {
-      const uint64_t oldest = *erased_.begin();
-      erased_.erase(erased_.begin());
-      floor_ = oldest;
-      const auto position = order_.find(oldest);
+  void evict_erased() {
+    while (erased_revisions_.size() > erased_limit_) {
+      const uint64_t oldest = *erased_revisions_.begin();
+      erased_revisions_.erase(erased_revisions_.begin());
+      newest_evicted_revision_ = oldest;
+      const auto position = key_by_revision_.find(oldest);
       entries_.erase(position->second);
-      order_.erase(position);
+      key_by_revision_.erase(position);
     }
   }
 
   size_t erased_limit_;
   std::map<Key, Entry> entries_;
-  std::map<uint64_t, Key> order_;  ///< by revision of the last change
-  std::set<uint64_t> erased_;      ///< revisions of erased keys
+  std::map<uint64_t, Key> key_by_revision_;  ///< by revision of the last change
+  std::set<uint64_t> erased_revisions_;      ///< revisions of erased keys
   uint64_t revision_ = 0;
-  uint64_t floor_ = 0;  ///< the newest forgotten erasure
+  uint64_t newest_evicted_revision_ = 0;  ///< the newest forgotten erasure
   size_t size_ = 0;
 };
 
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -7,14 +7,14 @@
 namespace {
 
 /// Versions that follow one another within the time of a load or two; more are never of interest at once.
-constexpr size_t kMostVersions = 16;
+constexpr size_t kMaxVersions = 16;
 
 }  // namespace
 
 void VersionHistory::note(uint64_t version, TimePoint since) {
   const auto [entry, added] = since_.emplace(version, since);
   entry->second = std::min(entry->second, since);
-  if (since_.size() > kMostVersions) {
+  if (since_.size() > kMaxVersions) {
     since_.erase(since_.begin());
   }
 }
--- a/src/rollout/answer_book.cc
+++ b/src/rollout/answer_book.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-uint64_t growth(uint64_t now, uint64_t before) { return now > before ? now - before : 0; }
+uint64_t increase(uint64_t now, uint64_t before) { return now > before ? now - before : 0; }
 
 std::vector<fleet::AnswerCount> to_list(const AnswerTable& table) {
   std::vector<fleet::AnswerCount> list;
@@ -21,13 +21,13 @@
 }  // namespace
 
 void add_growth(const fleet::AnswerSums& now, const fleet::AnswerSums& before, fleet::AnswerSums& sums) {
-  sums.sent += growth(now.sent, before.sent);
-  sums.failed += growth(now.failed, before.failed);
-  sums.broken += growth(now.broken, before.broken);
+  sums.sent += increase(now.sent, before.sent);
+  sums.failed += increase(now.failed, before.failed);
+  sums.broken += increase(now.broken, before.broken);
   sums.times.resize(std::max(sums.times.size(), now.times.size()));
   for (size_t bucket = 0; bucket < now.times.size(); ++bucket) {
     const uint64_t known = bucket < before.times.size() ? before.times[bucket] : 0;
-    sums.times[bucket] += growth(now.times[bucket], known);
+    sums.times[bucket] += increase(now.times[bucket], known);
   }
 }
 
@@ -37,56 +37,56 @@
   if (first && !loads.answers_anew) {
     return;  // it will tell all of them when its feed begins
   }
-  Source& router = routers_[loads.router];
+  ReporterState& router = routers_[loads.router];
   if (first) {
     router = {};
     router.start_id = loads.start_id;
   }
   for (const fleet::AnswerCount& count : loads.answers) {
-    fleet::AnswerSums& told = router.told[count.key];
+    fleet::AnswerSums& reported = router.reported[count.key];
     if (!first) {
-      add_growth(count.sums, told, own_[count.key]);
-      add_growth(count.sums, told, totals_[count.key]);
+      add_growth(count.sums, reported, local_[count.key]);
+      add_growth(count.sums, reported, totals_[count.key]);
       changed_.insert(count.key);
     }
-    told = count.sums;
+    reported = count.sums;
   }
 }
 
 void AnswerBook::on_member(const std::string& member, uint64_t start_id,
                            const std::vector<fleet::AnswerCount>& answers) {
-  Source& source = members_[member];
+  ReporterState& source = members_[member];
   if (source.start_id != start_id) {
     source = {};
     source.start_id = start_id;
   }
   for (const fleet::AnswerCount& count : answers) {
-    fleet::AnswerSums& told = source.told[count.key];
-    add_growth(count.sums, told, totals_[count.key]);
-    told = count.sums;
+    fleet::AnswerSums& reported = source.reported[count.key];
+    add_growth(count.sums, reported, totals_[count.key]);
+    reported = count.sums;
   }
 }
 
 std::vector<fleet::AnswerCount> AnswerBook::take_changes() {
   std::vector<fleet::AnswerCount> list;
   for (const fleet::AnswerKey& key : std::exchange(changed_, {})) {
-    list.push_back({key, own_.at(key)});
+    list.push_back({key, local_.at(key)});
   }
   return list;
 }
 
-std::vector<fleet::AnswerCount> AnswerBook::own() const { return to_list(own_); }
+std::vector<fleet::AnswerCount> AnswerBook::own() const { return to_list(local_); }
 
 void AnswerBook::keep(const std::set<uint64_t>& rollouts) {
   const auto drop = [&](AnswerTable& table) {
     std::erase_if(table, [&](const auto& entry) { return rollouts.count(entry.first.rollout) == 0; });
   };
-  drop(own_);
+  drop(local_);
   drop(totals_);
   std::erase_if(changed_, [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; });
   for (auto* sources : {&routers_, &members_}) {
     for (auto& [name, source] : *sources) {
-      drop(source.told);
+      drop(source.reported);
     }
   }
 }
--- a/src/rollout/answer_book.h
+++ b/src/rollout/answer_book.h
@@ -34,14 +34,14 @@
   void keep(const std::set<uint64_t>& rollouts);
 
  private:
-  struct Source {
+  struct ReporterState {
     uint64_t start_id = 0;
-    AnswerTable told;
+    AnswerTable reported;
   };
 
-  std::map<std::string, Source> routers_;  ///< by name
-  std::map<std::string, Source> members_;  ///< by internal address
-  AnswerTable own_;
+  std::map<std::string, ReporterState> routers_;  ///< by name
+  std::map<std::string, ReporterState> members_;  ///< by internal address
+  AnswerTable local_;
   AnswerTable totals_;
   std::set<fleet::AnswerKey> changed_;
 };
--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -11,9 +11,9 @@
 constexpr double kFirstBucketMs = 2;
 constexpr double kBucketsPerDoubling = 2;
 /// From so many tokens on, reading is of the next class.
-constexpr uint64_t kReadingSteps[] = {512, 2048, 8192};
+constexpr uint64_t kPrefillThresholds[] = {512, 2048, 8192};
 /// From such parts of the slots on, the load is of the next class.
-constexpr double kLoadSteps[] = {0.5, 1.0};
+constexpr double kLoadThresholds[] = {0.5, 1.0};
 
 }  // namespace
 
@@ -26,21 +26,21 @@
   return std::min(kTimeBuckets - 1, static_cast<size_t>(bucket));
 }
 
-uint8_t condition_of(uint64_t tokens_to_read, uint32_t outstanding, uint32_t slots) {
-  int reading = 0;
-  for (const uint64_t step : kReadingSteps) {
-    reading += tokens_to_read >= step ? 1 : 0;
+uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots) {
+  int prefill_class = 0;
+  for (const uint64_t threshold : kPrefillThresholds) {
+    prefill_class += prefill_tokens >= threshold ? 1 : 0;
   }
-  const double taken = static_cast<double>(outstanding) / std::max<uint32_t>(1, slots);
-  int load = 0;
-  for (const double step : kLoadSteps) {
-    load += taken >= step ? 1 : 0;
+  const double slot_utilization = static_cast<double>(outstanding) / std::max<uint32_t>(1, slots);
+  int load_class = 0;
+  for (const double threshold : kLoadThresholds) {
+    load_class += slot_utilization >= threshold ? 1 : 0;
   }
-  return static_cast<uint8_t>(reading * kLoadClasses + load);
+  return static_cast<uint8_t>(prefill_class * kLoadClasses + load_class);
 }
 
-bool no_easier(uint8_t condition, uint8_t than) {
-  return condition / kLoadClasses >= than / kLoadClasses && condition % kLoadClasses >= than % kLoadClasses;
+bool is_at_least_as_hard(uint8_t condition, uint8_t base) {
+  return condition / kLoadClasses >= base / kLoadClasses && condition % kLoadClasses >= base % kLoadClasses;
 }
 
 fleet::AnswerSums& AnswerCounter::sums_of(const fleet::AnswerKey& key) {
@@ -96,9 +96,9 @@
 }
 
 void AnswerCounter::keep(const std::set<uint64_t>& rollouts) {
-  const auto other = [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; };
-  std::erase_if(counts_, [&](const auto& entry) { return other(entry.first); });
-  std::erase_if(changed_, other);
+  const auto is_finished = [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; };
+  std::erase_if(counts_, [&](const auto& entry) { return is_finished(entry.first); });
+  std::erase_if(changed_, is_finished);
 }
 
 std::vector<fleet::AnswerCount> AnswerCounter::take_changes() {
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -20,11 +20,11 @@
 /// The circumstances that make answers slow whatever their version: tokens that the back end has to read
 /// before its first event, and how much of its slots was taken. Answers of one condition can be compared. A
 /// condition is no easier than another when its reading and its load are both no lower.
-inline constexpr uint8_t kReadingClasses = 4;
+inline constexpr uint8_t kPrefillClasses = 4;
 inline constexpr uint8_t kLoadClasses = 3;
-inline constexpr uint8_t kConditions = kReadingClasses * kLoadClasses;
-uint8_t condition_of(uint64_t tokens_to_read, uint32_t outstanding, uint32_t slots);
-bool no_easier(uint8_t condition, uint8_t than);
+inline constexpr uint8_t kConditionCount = kPrefillClasses * kLoadClasses;
+uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots);
+bool is_at_least_as_hard(uint8_t condition, uint8_t base);
 
 /// How a send to a back end ended.
 enum class SendEnd : uint8_t {
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -26,30 +26,31 @@
 /// Settings of a planner. The first four keep what a bad version gets below the operators' bound: a tenth of
 /// the service's requests and 50 more.
 struct PlannerOptions {
-  double share = 0.07;        ///< of the requests that go to a version on trial
-  double extra = 25;          ///< requests besides, where a share is too few to judge by
-  double hold_share = 0.085;  ///< above this, and the extra below, the version gets no more for now
-  double hold_extra = 36;
+  double share = 0.07;         ///< of the requests that go to a version on trial
+  double extra_requests = 25;  ///< requests besides, where a share is too few to judge by
+  double hold_share = 0.085;   ///< above this, and the extra below, the version gets no more for now
+  double hold_extra_requests = 36;
   double max_share = 0.4;  ///< where the extra makes it larger
   /// Where one back end would bear less than this part of its load in the end, the share comes in bursts.
-  double density = 0.8;
+  double min_load_fraction = 0.8;
   Duration burst = 800ms;  ///< longer than most requests take, so that load builds up
   /// Until all routers keep to a step, and the leader knows what was sent till then.
-  Duration step_time = 500ms;
-  uint64_t wanted_answers = 30;  ///< judged before a switch; fewer where the share gives no more
-  uint64_t fewest_answers = 8;
-  double doubt_limit = 0.5;        ///< Judgement::doubt above which nothing is switched
-  Duration confirm_time = 1500ms;  ///< for the word of all routers, and the log
-  double lead_part = 1.0 / 3;      ///< of the time until the deadline that the switch may take at most
-  double last_part = 0.15;         ///< that the shortest switch takes, at most confirm_time
-  double max_burst = 0.5;          ///< share in a burst
-  size_t rotating = 14;            ///< so few back ends all get their turn in bursts; more, in the end
-  double spread_part = 0.7;        ///< of the trial, after which all of the version's back ends get of it
-  double capacity = 0.5;           ///< back ends of the version that must be ready, as a part of the others
-  Duration dwell = 1s;             ///< from the switch to the end at least, to see the version under all load
+  Duration propagation_time = 500ms;
+  uint64_t preferred_answers = 30;  ///< judged before a switch; fewer where the share gives no more
+  uint64_t min_answers = 8;
+  double max_doubt = 0.5;               ///< Judgement::doubt above which nothing is switched
+  Duration confirmation_time = 1500ms;  ///< for the word of all routers, and the log
+  double max_lead_fraction = 1.0 / 3;   ///< of the time until the deadline that the switch may take at most
+  double min_lead_fraction = 0.15;      ///< that the shortest switch takes, at most confirm_time
+  double max_burst_share = 0.5;         ///< share in a burst
+  size_t max_rotating_backends = 14;    ///< so few back ends all get their turn in bursts; more, in the end
+  double spread_after_fraction = 0.7;  ///< of the trial, after which all of the version's back ends get of it
+  double min_capacity_ratio = 0.5;  ///< back ends of the version that must be ready, as a part of the others
+  Duration min_switch_duration =
+      1s;                          ///< from the switch to the end at least, to see the version under all load
   Duration others_gone = 1500ms;   ///< without a back end of another version, nothing is to go back to
-  Duration return_limit = 5s;      ///< a router whose word is missing for so long honours no keys any more
-  Duration last_moment = 400ms;    ///< before the deadline, from when on a return waits for no router
+  Duration rollback_timeout = 5s;  ///< a router whose word is missing for so long honours no keys any more
+  Duration final_window = 400ms;   ///< before the deadline, from when on a return waits for no router
 };
 
 /// Spends so much of the bounds that news which are late, and draws that fall high, stay within them.
--- a/src/rollout/router_confirmations.h
+++ b/src/rollout/router_confirmations.h
@@ -22,7 +22,7 @@
 class RouterConfirmations {
  public:
   /// `alone_time`: for how long a router that reaches no member may still serve.
-  explicit RouterConfirmations(Duration alone_time) : alone_time_(alone_time) {}
+  explicit RouterConfirmations(Duration isolation_limit) : isolation_limit_(isolation_limit) {}
 
   void note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied, TimePoint now);
   /// The router has ended, or its connection has: it is back soon or not at all.
@@ -31,13 +31,13 @@
   RouterWord word_on(uint64_t rollout, uint64_t step, TimePoint now);
 
  private:
-  struct Known {
-    TimePoint heard{0};
-    TimePoint closed{Duration::max()};
+  struct RouterReport {
+    TimePoint reported_at{0};
+    TimePoint closed_at{Duration::max()};
     std::vector<fleet::AppliedRollout> applied;
   };
-  Duration alone_time_;
-  std::map<std::string, Known> routers_;  ///< by name
+  Duration isolation_limit_;
+  std::map<std::string, RouterReport> routers_;  ///< by name
 };
 
 }  // namespace stoat::rollout
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -11,9 +11,9 @@
 
 /// A router that has had no confirmed word for so long gives the target version nothing while it is on trial:
 /// it may be taken back by now. Routers hear of confirmations each 400 ms.
-constexpr Duration kTouchLimit = 2s;
+constexpr Duration kMaxConfirmationAge = 2s;
 /// So much of the share goes to routes by their requests, the rest to each route alike.
-constexpr double kShareByRequests = 0.5;
+constexpr double kProportionalPart = 0.5;
 /// The most of one route's requests that go to a version on trial.
 constexpr double kMaxRouteShare = 0.3;
 /// Requests, spread evenly over the routes, that a router counts in before it has seen any.
@@ -22,31 +22,31 @@
 }  // namespace
 
 int VersionLimits::rank(const std::string& version) const {
-  if (wanted == Wanted::kAny) {
+  if (wanted == Preference::kAny) {
     return 0;
   }
   const bool target = version == rollout->target_version;
-  if (wanted == Wanted::kTarget) {
-    return target ? 0 : may_fall_back ? 1 : kNever;
+  if (wanted == Preference::kTarget) {
+    return target ? 0 : allow_fallback ? 1 : kNever;
   }
   if (target) {
-    return may_fall_back ? 2 : kNever;
+    return allow_fallback ? 2 : kNever;
   }
   const auto& active = rollout->active_versions;
-  const bool ordered = active.empty() || std::find(active.begin(), active.end(), version) != active.end();
-  return ordered ? 0 : 1;
+  const bool is_active = active.empty() || std::find(active.begin(), active.end(), version) != active.end();
+  return is_active ? 0 : 1;
 }
 
 bool ServiceVersions::take(const std::vector<fleet::ServiceRollout>& rollouts) {
-  bool newer = false;
-  for (const fleet::ServiceRollout& told : rollouts) {
-    fleet::ServiceRollout& known = rollouts_[told.service];
-    if (std::make_pair(told.id, told.step) > std::make_pair(known.id, known.step)) {
-      known = told;
-      newer = true;
+  bool has_newer = false;
+  for (const fleet::ServiceRollout& received : rollouts) {
+    fleet::ServiceRollout& known = rollouts_[received.service];
+    if (std::make_pair(received.id, received.step) > std::make_pair(known.id, known.step)) {
+      known = received;
+      has_newer = true;
     }
   }
-  return newer;
+  return has_newer;
 }
 
 const fleet::ServiceRollout* ServiceVersions::find(const std::string& service) const {
@@ -54,12 +54,13 @@
   return found == rollouts_.end() ? nullptr : &found->second;
 }
 
-double share_of_route(double share, double part, size_t routes) {
-  const double evenly = (1 - kShareByRequests) * share / (static_cast<double>(routes) * part);
-  return std::min(std::max(share, kMaxRouteShare), kShareByRequests * share + evenly);
+double share_of_route(double share, double route_fraction, size_t routes) {
+  const double evenly = (1 - kProportionalPart) * share / (static_cast<double>(routes) * route_fraction);
+  return std::min(std::max(share, kMaxRouteShare), kProportionalPart * share + evenly);
 }
 
-bool ServiceVersions::draw(const std::string& service, const std::string& route, double unit, TimePoint now) {
+bool ServiceVersions::draw(const std::string& service, const std::string& route, double random_value,
+                           TimePoint now) {
   const fleet::ServiceRollout* rollout = find(service);
   if (rollout == nullptr || rollout->phase != fleet::RolloutPhase::kTrial) {
     return false;
@@ -70,13 +71,14 @@
     counts.id = rollout->id;
   }
   ++counts.all;
-  const auto own = static_cast<double>(++counts.of[route]);
-  const auto routes = static_cast<double>(counts.of.size());
-  const double part = (own + kPriorRequests / routes) / (static_cast<double>(counts.all) + kPriorRequests);
-  if (now - confirmed_at_ > kTouchLimit) {
+  const auto route_count = static_cast<double>(++counts.by_route[route]);
+  const auto routes = static_cast<double>(counts.by_route.size());
+  const double route_fraction =
+      (route_count + kPriorRequests / routes) / (static_cast<double>(counts.all) + kPriorRequests);
+  if (now - confirmed_at_ > kMaxConfirmationAge) {
     return false;
   }
-  return unit < share_of_route(rollout->share, part, counts.of.size());
+  return random_value < share_of_route(rollout->share, route_fraction, counts.by_route.size());
 }
 
 VersionLimits ServiceVersions::limits(const std::string& service, bool sampled) const {
@@ -84,30 +86,30 @@
   if (rollout == nullptr) {
     return {};
   }
-  using Wanted = VersionLimits::Wanted;
+  using Preference = VersionLimits::Preference;
   // A version that is the only one serves, whatever is not known of it; else the service would be down.
-  const bool only_one = rollout->active_versions.empty();
+  const bool is_only_version = rollout->active_versions.empty();
   switch (rollout->phase) {
     case fleet::RolloutPhase::kTrial:
       if (sampled) {
-        return {Wanted::kTarget, true, rollout};
+        return {Preference::kTarget, true, rollout};
       }
-      return {Wanted::kOthers, only_one, rollout};
+      return {Preference::kOthers, is_only_version, rollout};
     case fleet::RolloutPhase::kWaiting:
-      return {Wanted::kOthers, only_one, rollout};
+      return {Preference::kOthers, is_only_version, rollout};
     case fleet::RolloutPhase::kSwitching:
     case fleet::RolloutPhase::kCompleted:
-      return {Wanted::kTarget, true, rollout};
+      return {Preference::kTarget, true, rollout};
     case fleet::RolloutPhase::kReturning:
     case fleet::RolloutPhase::kRolledBack:
       break;
   }
-  return {Wanted::kOthers, false, rollout};
+  return {Preference::kOthers, false, rollout};
 }
 
-size_t sample_size(double share, size_t back_ends) {
+size_t sample_size(double share, size_t backends) {
   constexpr double kRounding = 1e-6;
-  const double even = std::ceil(share * static_cast<double>(back_ends) - kRounding);
+  const double even = std::ceil(share * static_cast<double>(backends) - kRounding);
   return std::max<size_t>(1, static_cast<size_t>(even));
 }
 
--- a/src/rollout/version_judge.cc
+++ b/src/rollout/version_judge.cc
@@ -9,34 +9,36 @@
 namespace {
 
 /// When more of the others' answers are bad, something hits all versions, and nothing is judged.
-constexpr double kMaxRate = 0.5;
+constexpr double kMaxBaselineRate = 0.5;
 /// The others' present rate counts in so many answers at the floor's, against chance in few.
 constexpr double kPriorAnswers = 20;
 constexpr double kMedian = 0.5;
 
 /// How much likelier the answers are from a bad version, as a logarithm.
-double likelihood(double answers, double bad, double good_rate, const TestOptions& test, double step) {
-  const double low = std::max(good_rate * test.growth, test.floor);
-  if (low > kMaxRate) {
+double log_likelihood_ratio(double answers, double bad, double good_rate, const TestOptions& test,
+                            double increase) {
+  const double baseline_rate = std::max(good_rate * test.baseline_factor, test.min_rate);
+  if (baseline_rate > kMaxBaselineRate) {
     return 0;
   }
-  const double high = low + step;
-  return bad * std::log(high / low) + (answers - bad) * std::log((1 - high) / (1 - low));
+  const double raised_rate = baseline_rate + increase;
+  return bad * std::log(raised_rate / baseline_rate) +
+         (answers - bad) * std::log((1 - raised_rate) / (1 - baseline_rate));
 }
 
-double present_rate(double bad, double answers, double floor) {
-  return (bad + floor * kPriorAnswers) / (answers + kPriorAnswers);
+double smoothed_rate(double bad, double answers, double min_rate) {
+  return (bad + min_rate * kPriorAnswers) / (answers + kPriorAnswers);
 }
 
-template <typename Times>
-double sum_from(const Times& times, size_t bucket) {
+template <typename TimeHistogram>
+double count_from(const TimeHistogram& times, size_t bucket) {
   return std::accumulate(times.begin() + static_cast<std::ptrdiff_t>(bucket), times.end(), 0.0);
 }
 
 /// The bucket that half of the answers don't exceed; 0 where they are too few.
-template <typename Times>
-size_t median_of(const Times& times) {
-  const double answers = sum_from(times, 0);
+template <typename TimeHistogram>
+size_t median_bucket(const TimeHistogram& times) {
+  const double answers = count_from(times, 0);
   if (answers < kPriorAnswers) {
     return 0;
   }
@@ -49,8 +51,8 @@
 
 }  // namespace
 
-size_t VersionJudge::back_end_of(const std::string& engine) {
-  return back_ends_.emplace(engine, back_ends_.size()).first->second;
+size_t VersionJudge::backend_index(const std::string& engine) {
+  return backend_indexes_.emplace(engine, backend_indexes_.size()).first->second;
 }
 
 void VersionJudge::add(const fleet::AnswerKey& key, const fleet::AnswerSums& growth) {
@@ -59,152 +61,153 @@
   const auto broken = static_cast<double>(growth.broken);
   const auto timed = static_cast<double>(std::accumulate(growth.times.begin(), growth.times.end(), 0ULL));
   const size_t buckets = std::min(growth.times.size(), kTimeBuckets);
-  const uint8_t condition = std::min<uint8_t>(key.condition, kConditions - 1);
+  const uint8_t condition = std::min<uint8_t>(key.condition, kConditionCount - 1);
   if (!key.target) {
     route.others_answers += timed + failed + broken;
-    for (Tally* tally : {&route.recent, &route.newest}) {
-      tally->whole += timed + failed;
+    for (AnswerTally* tally : {&route.recent, &route.newest}) {
+      tally->complete += timed + failed;
       tally->failed += failed;
       tally->broken += broken;
     }
-    Reference& reference = route.references[condition];
+    Baseline& baseline = route.baselines[condition];
     for (size_t bucket = 0; bucket < buckets; ++bucket) {
-      reference.all[bucket] += static_cast<double>(growth.times[bucket]);
-      reference.recent[bucket] += static_cast<double>(growth.times[bucket]);
-      reference.newest[bucket] += static_cast<double>(growth.times[bucket]);
+      baseline.all[bucket] += static_cast<double>(growth.times[bucket]);
+      baseline.recent[bucket] += static_cast<double>(growth.times[bucket]);
+      baseline.newest[bucket] += static_cast<double>(growth.times[bucket]);
     }
-    reference.answers += timed;
+    baseline.answers += timed;
     return;
   }
-  const size_t back_end = back_end_of(key.engine);
-  Tally& tally = route.failures[back_end];
-  tally.whole += timed + failed;
+  const size_t backend = backend_index(key.engine);
+  AnswerTally& tally = route.failures[backend];
+  tally.complete += timed + failed;
   tally.failed += failed;
   tally.broken += broken;
-  breaks_ += broken;
-  Times& times = route.times[{condition, back_end}];
+  pending_breaks_ += broken;
+  TimeHistogram& times = route.times[{condition, backend}];
   for (size_t bucket = 0; bucket < buckets; ++bucket) {
     times[bucket] += static_cast<double>(growth.times[bucket]);
   }
 }
 
-void VersionJudge::forget_old(Duration passed) {
-  const double kept = std::exp(-to_seconds(passed) / to_seconds(options_.memory));
-  const double kept_shortly = std::exp(-to_seconds(passed) / to_seconds(options_.short_memory));
+void VersionJudge::decay_baseline(Duration elapsed) {
+  const double decay = std::exp(-to_seconds(elapsed) / to_seconds(options_.decay_time));
+  const double short_decay = std::exp(-to_seconds(elapsed) / to_seconds(options_.short_decay_time));
   for (auto& [name, route] : routes_) {
-    route.recent.shrink(kept);
-    route.newest.shrink(kept_shortly);
-    for (Reference& reference : route.references) {
+    route.recent.scale(decay);
+    route.newest.scale(short_decay);
+    for (Baseline& baseline : route.baselines) {
       for (size_t bucket = 0; bucket < kTimeBuckets; ++bucket) {
-        reference.recent[bucket] *= kept;
-        reference.newest[bucket] *= kept_shortly;
+        baseline.recent[bucket] *= decay;
+        baseline.newest[bucket] *= short_decay;
       }
     }
   }
 }
 
-double VersionJudge::counted_breaks(Duration passed) {
-  breaks_left_ = std::min(options_.breaks_at_once, breaks_left_ + options_.breaks_per_s * to_seconds(passed));
-  const double counted = std::min(breaks_, breaks_left_);
-  const double part = breaks_ > 0 ? counted / breaks_ : 0;
-  breaks_left_ -= counted;
-  breaks_ = 0;
+double VersionJudge::countable_break_fraction(Duration elapsed) {
+  break_budget_ =
+      std::min(options_.max_break_burst, break_budget_ + options_.max_breaks_per_s * to_seconds(elapsed));
+  const double counted = std::min(pending_breaks_, break_budget_);
+  const double part = pending_breaks_ > 0 ? counted / pending_breaks_ : 0;
+  break_budget_ -= counted;
+  pending_breaks_ = 0;
   return part;
 }
 
-void VersionJudge::move(Sum& sum, const ByBackEnd& likelihoods) {
+void VersionJudge::update(Cusum& sum, const ByBackend& log_likelihood_ratios) {
   double all = 0;
-  for (const auto& [back_end, likelihood] : likelihoods) {
-    sum.without.emplace(back_end, sum.total);
-    all += likelihood;
+  for (const auto& [backend, log_likelihood_ratio] : log_likelihood_ratios) {
+    sum.without.emplace(backend, sum.total);
+    all += log_likelihood_ratio;
   }
-  for (auto& [back_end, rest] : sum.without) {
-    const auto own = likelihoods.find(back_end);
-    rest = std::max(0.0, rest + all - (own == likelihoods.end() ? 0 : own->second));
+  for (auto& [backend, remaining] : sum.without) {
+    const auto own = log_likelihood_ratios.find(backend);
+    remaining = std::max(0.0, remaining + all - (own == log_likelihood_ratios.end() ? 0 : own->second));
   }
   sum.total = std::max(0.0, sum.total + all);
 }
 
-void VersionJudge::move(SumPair& sums, const Moves& moves) {
-  move(sums.step, moves.step);
-  move(sums.leap, moves.leap);
+void VersionJudge::update(CusumPair& sums, const Increments& increments) {
+  update(sums.small_increase, increments.small_increase);
+  update(sums.large_increase, increments.large_increase);
 }
 
-void VersionJudge::add_moves(size_t back_end, double answers, double bad, double rate,
-                             const TestOptions& test, Moves& moves) {
-  moves.step[back_end] += likelihood(answers, bad, rate, test, test.step);
-  moves.leap[back_end] += likelihood(answers, bad, rate, test, test.leap);
+void VersionJudge::add_increments(size_t backend, double answers, double bad, double rate,
+                                  const TestOptions& test, Increments& increments) {
+  increments.small_increase[backend] += log_likelihood_ratio(answers, bad, rate, test, test.small_increase);
+  increments.large_increase[backend] += log_likelihood_ratio(answers, bad, rate, test, test.large_increase);
 }
 
-void VersionJudge::judge_failures(Route& route, double counted, Moves& pooled) {
-  const double floor = options_.failures.floor;
-  const double rate = std::max(present_rate(route.recent.bad(), route.recent.all(), floor),
-                               present_rate(route.newest.bad(), route.newest.all(), floor));
-  Moves moves;
-  for (const auto& [back_end, tally] : route.failures) {
+void VersionJudge::judge_failures(Route& route, double counted, Increments& pooled) {
+  const double min_rate = options_.failures.min_rate;
+  const double rate = std::max(smoothed_rate(route.recent.bad(), route.recent.all(), min_rate),
+                               smoothed_rate(route.newest.bad(), route.newest.all(), min_rate));
+  Increments increments;
+  for (const auto& [backend, tally] : route.failures) {
     const double broken = tally.broken * counted;
-    const double answers = tally.whole + broken;
-    add_moves(back_end, answers, tally.failed + broken, rate, options_.failures, moves);
-    add_moves(back_end, answers, tally.failed + broken, rate, options_.failures, pooled);
+    const double answers = tally.complete + broken;
+    add_increments(backend, answers, tally.failed + broken, rate, options_.failures, increments);
+    add_increments(backend, answers, tally.failed + broken, rate, options_.failures, pooled);
     route.target_answers += answers;
     judgement_.answers += static_cast<uint64_t>(std::lround(answers));
     judgement_.failed += static_cast<uint64_t>(std::lround(tally.failed + broken));
   }
   route.failures.clear();
-  move(route.failure_sums, moves);
+  update(route.failure_cusums, increments);
 }
 
-bool VersionJudge::reference_for(const Route& route, uint8_t condition, Reference& reference) const {
-  const auto enough = static_cast<double>(options_.reference_answers);
-  reference = route.references[condition];
-  if (reference.answers >= enough) {
+bool VersionJudge::baseline_for(const Route& route, uint8_t condition, Baseline& baseline) const {
+  const auto min_answers = static_cast<double>(options_.min_baseline_answers);
+  baseline = route.baselines[condition];
+  if (baseline.answers >= min_answers) {
     return true;
   }
   // Answers under harder conditions are slower, so that nothing is called slow that is not.
-  reference = {};
-  for (uint8_t other = 0; other < kConditions; ++other) {
-    if (!no_easier(other, condition)) {
+  baseline = {};
+  for (uint8_t other = 0; other < kConditionCount; ++other) {
+    if (!is_at_least_as_hard(other, condition)) {
       continue;
     }
     for (size_t bucket = 0; bucket < kTimeBuckets; ++bucket) {
-      reference.all[bucket] += route.references[other].all[bucket];
-      reference.recent[bucket] += route.references[other].recent[bucket];
-      reference.newest[bucket] += route.references[other].newest[bucket];
+      baseline.all[bucket] += route.baselines[other].all[bucket];
+      baseline.recent[bucket] += route.baselines[other].recent[bucket];
+      baseline.newest[bucket] += route.baselines[other].newest[bucket];
     }
-    reference.answers += route.references[other].answers;
+    baseline.answers += route.baselines[other].answers;
   }
-  return reference.answers >= enough;
+  return baseline.answers >= min_answers;
 }
 
-void VersionJudge::judge_slowness(Route& route, Moves& pooled) {
-  Moves moves;
-  Reference reference;
-  for (const auto& [place, times] : route.times) {
-    const auto& [condition, back_end] = place;
-    if (!reference_for(route, condition, reference)) {
+void VersionJudge::judge_slowness(Route& route, Increments& pooled) {
+  Increments increments;
+  Baseline baseline;
+  for (const auto& [group, times] : route.times) {
+    const auto& [condition, backend] = group;
+    if (!baseline_for(route, condition, baseline)) {
       continue;
     }
     // What slows all versions raises the others' present median, and so what counts as slow.
-    const size_t median =
-        std::max({median_of(reference.all), median_of(reference.recent), median_of(reference.newest)});
+    const size_t median = std::max(
+        {median_bucket(baseline.all), median_bucket(baseline.recent), median_bucket(baseline.newest)});
     const size_t slow = std::min(kTimeBuckets - 1, median + options_.slow_buckets);
-    const double rate = std::max(sum_from(reference.all, slow) / reference.answers,
-                                 present_rate(sum_from(reference.recent, slow), sum_from(reference.recent, 0),
-                                              options_.slowness.floor));
-    const double answers = sum_from(times, 0);
-    const double bad = sum_from(times, slow);
-    add_moves(back_end, answers, bad, rate, options_.slowness, moves);
-    add_moves(back_end, answers, bad, rate, options_.slowness, pooled);
+    const double rate = std::max(count_from(baseline.all, slow) / baseline.answers,
+                                 smoothed_rate(count_from(baseline.recent, slow),
+                                               count_from(baseline.recent, 0), options_.slowness.min_rate));
+    const double answers = count_from(times, 0);
+    const double bad = count_from(times, slow);
+    add_increments(backend, answers, bad, rate, options_.slowness, increments);
+    add_increments(backend, answers, bad, rate, options_.slowness, pooled);
   }
   route.times.clear();
-  move(route.slowness_sums, moves);
+  update(route.slowness_cusums, increments);
 }
 
-void VersionJudge::weigh(const Sum& sum, const TestOptions& test, const std::string& name) {
-  double doubt = sum.total / test.limit;
+void VersionJudge::raise_doubt(const Cusum& sum, const TestOptions& test, const std::string& name) {
+  double doubt = sum.total / test.threshold;
   if (sum.without.size() > 1) {
-    for (const auto& [back_end, rest] : sum.without) {
-      doubt = std::min(doubt, rest / (options_.rest_limit * test.limit));
+    for (const auto& [backend, remaining] : sum.without) {
+      doubt = std::min(doubt, remaining / (options_.leave_one_out_fraction * test.threshold));
     }
   }
   if (doubt > judgement_.doubt) {
@@ -213,9 +216,9 @@
   }
 }
 
-void VersionJudge::weigh(const SumPair& sums, const TestOptions& test, const std::string& name) {
-  weigh(sums.step, test, name);
-  weigh(sums.leap, test, name);
+void VersionJudge::raise_doubt(const CusumPair& sums, const TestOptions& test, const std::string& name) {
+  raise_doubt(sums.small_increase, test, name);
+  raise_doubt(sums.large_increase, test, name);
 }
 
 bool VersionJudge::all_routes_covered() const {
@@ -225,32 +228,32 @@
   }
   return std::all_of(routes_.begin(), routes_.end(), [&](const auto& entry) {
     const Route& route = entry.second;
-    return route.others_answers < options_.route_part * all ||
-           route.target_answers >= static_cast<double>(options_.route_answers);
+    return route.others_answers < options_.min_route_fraction * all ||
+           route.target_answers >= static_cast<double>(options_.covered_route_answers);
   });
 }
 
 const Judgement& VersionJudge::judge(TimePoint now) {
-  const Duration passed = judged_at_ == TimePoint(0) ? Duration(0) : now - judged_at_;
+  const Duration elapsed = judged_at_ == TimePoint(0) ? Duration(0) : now - judged_at_;
   judged_at_ = now;
-  const double counted = counted_breaks(passed);
-  Moves failures;
-  Moves slowness;
+  const double counted = countable_break_fraction(elapsed);
+  Increments failures;
+  Increments slowness;
   judgement_.doubt = 0;
   judgement_.finding.clear();
   for (auto& [name, route] : routes_) {
     judge_failures(route, counted, failures);
     judge_slowness(route, slowness);
-    weigh(route.failure_sums, options_.failures, "failures on route " + name);
-    weigh(route.slowness_sums, options_.slowness, "slow answers on route " + name);
+    raise_doubt(route.failure_cusums, options_.failures, "failures on route " + name);
+    raise_doubt(route.slowness_cusums, options_.slowness, "slow answers on route " + name);
   }
-  move(pooled_failures_, failures);
-  move(pooled_slowness_, slowness);
-  weigh(pooled_failures_, options_.failures, "failures");
-  weigh(pooled_slowness_, options_.slowness, "slow answers");
+  update(pooled_failure_cusums_, failures);
+  update(pooled_slowness_cusums_, slowness);
+  raise_doubt(pooled_failure_cusums_, options_.failures, "failures");
+  raise_doubt(pooled_slowness_cusums_, options_.slowness, "slow answers");
   judgement_.bad = judgement_.bad || judgement_.doubt >= 1;
   judgement_.covered = all_routes_covered();
-  forget_old(passed);
+  decay_baseline(elapsed);
   return judgement_;
 }
 
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -21,26 +21,26 @@
 
 /// What one kind of bad answer is tested with. Rates are parts of the answers.
 struct TestOptions {
-  double floor = 0;   ///< a good version's rate is taken to be this at least
-  double growth = 1;  ///< and so many times that of the others
-  double step = 0;    ///< a bad version's rate is higher by so much at least
-  double leap = 0;    ///< a plainly bad one's by so much: it is found by fewer answers
-  double limit = 0;   ///< of the sum of logarithms
+  double min_rate = 0;         ///< a good version's rate is taken to be this at least
+  double baseline_factor = 1;  ///< and so many times that of the others
+  double small_increase = 0;   ///< a bad version's rate is higher by so much at least
+  double large_increase = 0;   ///< a plainly bad one's by so much: it is found by fewer answers
+  double threshold = 0;        ///< of the sum of logarithms
 };
 
 /// Settings of a judge. The rates of wrong verdicts that they give are stated by the property tests.
 struct JudgeOptions {
   TestOptions failures{0.01, 1.6, 0.08, 0.4, 14};
   TestOptions slowness{0.03, 1.3, 0.08, 0.4, 12};
-  Duration memory = 2s;             ///< the others' rates are those of about so long
-  Duration short_memory = 100ms;    ///< and no lower than those of about so long, where many answers came
-  size_t slow_buckets = 3;          ///< slow: so many buckets above the others' median (2.8 times)
-  uint64_t reference_answers = 30;  ///< fewer answers of other versions are nothing to compare with
-  double rest_limit = 0.3;          ///< part of the limit that is passed without any one back end
-  double breaks_per_s = 8;          ///< more broken connections are those of a crash, or of a cut
-  double breaks_at_once = 2;
-  uint64_t route_answers = 8;  ///< a route is covered by so many
-  double route_part = 0.03;    ///< routes with a smaller part of the requests need not be covered
+  Duration decay_time = 2s;             ///< the others' rates are those of about so long
+  Duration short_decay_time = 100ms;    ///< and no lower than those of about so long, where many answers came
+  size_t slow_buckets = 3;              ///< slow: so many buckets above the others' median (2.8 times)
+  uint64_t min_baseline_answers = 30;   ///< fewer answers of other versions are nothing to compare with
+  double leave_one_out_fraction = 0.3;  ///< part of the limit that is passed without any one back end
+  double max_breaks_per_s = 8;          ///< more broken connections are those of a crash, or of a cut
+  double max_break_burst = 2;
+  uint64_t covered_route_answers = 8;  ///< a route is covered by so many
+  double min_route_fraction = 0.03;    ///< routes with a smaller part of the requests need not be covered
 };
 
 /// What is known so far.
@@ -65,79 +65,79 @@
   const Judgement& judgement() const { return judgement_; }
 
  private:
-  using Times = std::array<double, kTimeBuckets>;
-  using ByBackEnd = std::map<size_t, double>;
+  using TimeHistogram = std::array<double, kTimeBuckets>;
+  using ByBackend = std::map<size_t, double>;
   /// Answers of one back end since the last judgement.
-  struct Tally {
-    double whole = 0;  ///< errors among them
+  struct AnswerTally {
+    double complete = 0;  ///< errors among them
     double failed = 0;
     double broken = 0;
-    double all() const { return whole + broken; }
+    double all() const { return complete + broken; }
     double bad() const { return failed + broken; }
-    void shrink(double part) {
-      whole *= part;
+    void scale(double part) {
+      complete *= part;
       failed *= part;
       broken *= part;
     }
   };
   /// One test: its sum, and what the sum would be without each of the back ends.
-  struct Sum {
+  struct Cusum {
     double total = 0;
-    ByBackEnd without;  ///< by back end
+    ByBackend without;  ///< by back end
   };
   /// One kind of bad answer: a sum for bad versions and one for plainly bad ones.
-  struct SumPair {
-    Sum step;
-    Sum leap;
+  struct CusumPair {
+    Cusum small_increase;
+    Cusum large_increase;
   };
   /// What both are moved by.
-  struct Moves {
-    ByBackEnd step;
-    ByBackEnd leap;
+  struct Increments {
+    ByBackend small_increase;
+    ByBackend large_increase;
   };
   /// The others' answers of one condition.
-  struct Reference {
-    Times all{};
-    Times recent{};  ///< of about the judge's memory
-    Times newest{};  ///< of about its short memory
+  struct Baseline {
+    TimeHistogram all{};
+    TimeHistogram recent{};  ///< of about the judge's memory
+    TimeHistogram newest{};  ///< of about its short memory
     double answers = 0;
   };
   struct Route {
     double others_answers = 0;
-    Tally recent;  ///< of others, in about the judge's memory
-    Tally newest;  ///< and in its short memory
+    AnswerTally recent;  ///< of others, in about the judge's memory
+    AnswerTally newest;  ///< and in its short memory
     double target_answers = 0;
-    std::array<Reference, kConditions> references;
-    std::map<size_t, Tally> failures;  ///< since the last judgement, by back end
-    std::map<std::pair<uint8_t, size_t>, Times> times;
-    SumPair failure_sums;
-    SumPair slowness_sums;
+    std::array<Baseline, kConditionCount> baselines;
+    std::map<size_t, AnswerTally> failures;  ///< since the last judgement, by back end
+    std::map<std::pair<uint8_t, size_t>, TimeHistogram> times;
+    CusumPair failure_cusums;
+    CusumPair slowness_cusums;
   };
-  size_t back_end_of(const std::string& engine);
+  size_t backend_index(const std::string& engine);
   /// Lets the others' earlier answers count less.
-  void forget_old(Duration passed);
+  void decay_baseline(Duration elapsed);
   /// The part of the broken connections since the last judgement that may count.
-  double counted_breaks(Duration passed);
-  void judge_failures(Route& route, double counted, Moves& pooled);
-  void judge_slowness(Route& route, Moves& pooled);
+  double countable_break_fraction(Duration elapsed);
+  void judge_failures(Route& route, double counted, Increments& pooled);
+  void judge_slowness(Route& route, Increments& pooled);
   /// The answers of others that a condition's are compared with; false: too few.
-  bool reference_for(const Route& route, uint8_t condition, Reference& reference) const;
+  bool baseline_for(const Route& route, uint8_t condition, Baseline& baseline) const;
   /// Adds what the answers of one back end move, given the others' rate.
-  static void add_moves(size_t back_end, double answers, double bad, double rate, const TestOptions& test,
-                        Moves& moves);
-  static void move(Sum& sum, const ByBackEnd& likelihoods);
-  static void move(SumPair& sums, const Moves& moves);
-  void weigh(const Sum& sum, const TestOptions& test, const std::string& name);
-  void weigh(const SumPair& sums, const TestOptions& test, const std::string& name);
+  static void add_increments(size_t backend, double answers, double bad, double rate, const TestOptions& test,
+                             Increments& increments);
+  static void update(Cusum& sum, const ByBackend& log_likelihood_ratios);
+  static void update(CusumPair& sums, const Increments& increments);
+  void raise_doubt(const Cusum& sum, const TestOptions& test, const std::string& name);
+  void raise_doubt(const CusumPair& sums, const TestOptions& test, const std::string& name);
   bool all_routes_covered() const;
 
   JudgeOptions options_;
-  std::map<std::string, size_t> back_ends_;
+  std::map<std::string, size_t> backend_indexes_;
   std::map<std::string, Route> routes_;
-  SumPair pooled_failures_;
-  SumPair pooled_slowness_;
-  double breaks_ = 0;       ///< of the target version since the last judgement
-  double breaks_left_ = 0;  ///< that may still count
+  CusumPair pooled_failure_cusums_;
+  CusumPair pooled_slowness_cusums_;
+  double pending_breaks_ = 0;  ///< of the target version since the last judgement
+  double break_budget_ = 0;    ///< that may still count
   TimePoint judged_at_{0};
   Judgement judgement_;
 };
--- a/src/topology/topology.cc
+++ b/src/topology/topology.cc
@@ -40,8 +40,8 @@
 
 std::vector<std::string> Topology::zones_of(const std::string& region) const {
   std::vector<std::string> zones;
-  for (const auto& [zone, its_region] : regions_) {
-    if (its_region == region) {
+  for (const auto& [zone, zone_region] : regions_) {
+    if (zone_region == region) {
       zones.push_back(zone);
     }
   }
--- a/tests/unit/replica_leader_test.cc
+++ b/tests/unit/replica_leader_test.cc
@@ -10,22 +10,22 @@
 namespace {
 
 constexpr MemberId kSelf = 1;
-constexpr MemberId kBehind = 2;
+constexpr MemberId kLagging = 2;
 constexpr MemberId kOther = 3;
 constexpr uint64_t kTerm = 2;
 
 MemberList three_members() {
-  return MemberList{{{kSelf, "self", "", true}, {kBehind, "behind", "", true}, {kOther, "other", "", true}}};
+  return MemberList{{{kSelf, "self", "", true}, {kLagging, "behind", "", true}, {kOther, "other", "", true}}};
 }
 
 /// A replica that has just been elected, with entry 2 of its own term.
 class ReplicaLeaderTest : public testing::Test {
  protected:
-  ReplicaLeaderTest() : replica_(options(), founded(), 1, now_) {
+  ReplicaLeaderTest() : replica_(options(), bootstrapped_state(), 1, now_) {
     now_ += 10s;
     replica_.tick(now_);
-    answer(MessageKind::kPreVoteAnswer, kOther, true, 0);
-    answer(MessageKind::kVoteAnswer, kOther, true, 0);
+    deliver_response(MessageKind::kPreVoteResponse, kOther, true, 0);
+    deliver_response(MessageKind::kVoteResponse, kOther, true, 0);
     replica_.take_output();
   }
 
@@ -34,7 +34,7 @@
     options.id = kSelf;
     return options;
   }
-  static RestoredState founded() {
+  static RestoredState bootstrapped_state() {
     RestoredState state;
     state.hard_state.term = kTerm - 1;
     state.snapshot.index = 1;
@@ -42,7 +42,8 @@
     state.snapshot.members = three_members();
     return state;
   }
-  void answer(MessageKind kind, MemberId from, bool granted, uint64_t index, uint64_t of = 0) {
+  void deliver_response(MessageKind kind, MemberId from, bool granted, uint64_t index,
+                        uint64_t answered_index = 0) {
     Message message;
     message.kind = kind;
     message.from = from;
@@ -50,7 +51,7 @@
     message.term = kTerm;
     message.granted = granted;
     message.log_index = index;
-    message.offset = of;
+    message.offset = answered_index;
     replica_.receive(message, now_);
   }
   /// Proposes entries that the other member acknowledges, and keeps the log from `snapshot_index` on only.
@@ -59,7 +60,7 @@
       replica_.propose("entry", now_);
     }
     replica_.persisted(replica_.last_index(), kTerm, now_);
-    answer(MessageKind::kAppendAnswer, kOther, true, replica_.last_index());
+    deliver_response(MessageKind::kAppendResponse, kOther, true, replica_.last_index());
     Snapshot snapshot;
     snapshot.index = snapshot_index;
     snapshot.term = kTerm;
@@ -69,10 +70,10 @@
     replica_.take_output();
   }
   /// How many messages of a kind go to the member that is behind.
-  int64_t sent_to_behind(MessageKind kind) {
+  int64_t sent_to_lagging(MessageKind kind) {
     const std::vector<Message> sent = replica_.take_output().send_now;
     return std::count_if(sent.begin(), sent.end(), [kind](const Message& message) {
-      return message.to == kBehind && message.kind == kind;
+      return message.to == kLagging && message.kind == kind;
     });
   }
 
@@ -83,22 +84,22 @@
 TEST_F(ReplicaLeaderTest, SendsASnapshotToAMemberWhoseEntriesAreGone) {
   ASSERT_TRUE(replica_.leads());
   fill_and_compact(10, 10);
-  answer(MessageKind::kAppendAnswer, kBehind, false, 1, 2);
-  EXPECT_EQ(sent_to_behind(MessageKind::kSnapshotPiece), 1);
+  deliver_response(MessageKind::kAppendResponse, kLagging, false, 1, 2);
+  EXPECT_EQ(sent_to_lagging(MessageKind::kSnapshotChunk), 1);
 }
 
 TEST_F(ReplicaLeaderTest, GoesOnWithEntriesWhenALateAnswerShowsThatNoSnapshotIsNeeded) {
   ASSERT_TRUE(replica_.leads());
   fill_and_compact(10, 10);
-  answer(MessageKind::kAppendAnswer, kBehind, false, 1, 2);
-  ASSERT_EQ(sent_to_behind(MessageKind::kSnapshotPiece), 1);
+  deliver_response(MessageKind::kAppendResponse, kLagging, false, 1, 2);
+  ASSERT_EQ(sent_to_lagging(MessageKind::kSnapshotChunk), 1);
   // The answer to an append that was sent before has taken longer.
-  answer(MessageKind::kAppendAnswer, kBehind, true, 11);
+  deliver_response(MessageKind::kAppendResponse, kLagging, true, 11);
   replica_.take_output();
   now_ += 200ms;
-  answer(MessageKind::kAppendAnswer, kOther, true, replica_.last_index());
+  deliver_response(MessageKind::kAppendResponse, kOther, true, replica_.last_index());
   replica_.tick(now_);
-  EXPECT_EQ(sent_to_behind(MessageKind::kAppend), 1) << "the member hears nothing any more";
+  EXPECT_EQ(sent_to_lagging(MessageKind::kAppend), 1) << "the member hears nothing any more";
 }
 
 }  // namespace
--- a/tests/unit/replica_regions_test.cc
+++ b/tests/unit/replica_regions_test.cc
@@ -11,12 +11,14 @@
 namespace {
 
 constexpr Duration kStep = 1ms;
-constexpr Duration kWay = 20ms;        ///< between regions
-constexpr Duration kResend = 250ms;    ///< until a lost packet is sent again
-constexpr MemberId kLastOfLarger = 3;  ///< members 1 to 3 share a region, 4 and 5 the other
+constexpr Duration kInterRegionDelay = 20ms;  ///< between regions
+constexpr Duration kRetransmitDelay = 250ms;  ///< until a lost packet is sent again
+constexpr MemberId kLastOfLargerRegion = 3;   ///< members 1 to 3 share a region, 4 and 5 the other
 constexpr MemberId kMembers = 5;
 
-bool crosses(MemberId from, MemberId to) { return (from <= kLastOfLarger) != (to <= kLastOfLarger); }
+bool crosses(MemberId from, MemberId to) {
+  return (from <= kLastOfLargerRegion) != (to <= kLastOfLargerRegion);
+}
 
 /// Five replicas with connections that keep the order of their messages. Disks take no time.
 class TwoRegionsLogTest : public ::testing::Test {
@@ -70,12 +72,12 @@
   Replica& member(MemberId id) { return replicas_.at(id); }
 
   TimePoint now_{1s};
-  std::set<std::pair<MemberId, MemberId>> cut_;  ///< from, to
-  std::map<std::pair<MemberId, MemberId>, TimePoint> held_until_;
+  std::set<std::pair<MemberId, MemberId>> cut_links_;  ///< from, to
+  std::map<std::pair<MemberId, MemberId>, TimePoint> delayed_until_;
 
  private:
-  struct Sent {
-    TimePoint arrives{0};
+  struct QueuedMessage {
+    TimePoint arrives_at{0};
     Message message;
   };
   void drive(Replica& replica) {
@@ -89,16 +91,16 @@
   void send(const std::vector<Message>& messages) {
     for (const Message& message : messages) {
       const auto link = std::make_pair(message.from, message.to);
-      const Duration way = crosses(message.from, message.to) ? kWay : kStep;
-      links_[link].push_back({std::max(now_ + way, held_until_[link]), message});
+      const Duration delay = crosses(message.from, message.to) ? kInterRegionDelay : kStep;
+      links_[link].push_back({std::max(now_ + delay, delayed_until_[link]), message});
     }
   }
   void deliver() {
     for (auto& [link, queue] : links_) {
-      if (cut_.count(link) > 0) {
+      if (cut_links_.count(link) > 0) {
         queue.clear();
       }
-      while (!queue.empty() && queue.front().arrives <= now_) {
+      while (!queue.empty() && queue.front().arrives_at <= now_) {
         const Message message = queue.front().message;
         queue.pop_front();
         replicas_.at(message.to).receive(message, now_);
@@ -108,13 +110,13 @@
 
   MemberId only_candidate_ = 0;
   std::map<MemberId, Replica> replicas_;
-  std::map<std::pair<MemberId, MemberId>, std::deque<Sent>> links_;
+  std::map<std::pair<MemberId, MemberId>, std::deque<QueuedMessage>> links_;
 };
 
 TEST_F(TwoRegionsLogTest, ACommandOfTheLeaderInTheSmallerRegionIsCommittedAfterOneWayThereAndBack) {
   ASSERT_TRUE(elect(5));
   const uint64_t index = member(5).propose("command", now_);
-  run(2 * kWay + 10ms);
+  run(2 * kInterRegionDelay + 10ms);
   EXPECT_GE(member(5).commit_index(), index);
 }
 
@@ -123,7 +125,7 @@
   const uint64_t term = member(5).term();
   for (int round = 0; round < 20; ++round) {
     // One connection after the other: what follows a lost packet waits until it was sent again.
-    held_until_[{5, 1 + round % kLastOfLarger}] = now_ + kResend + kWay;
+    delayed_until_[{5, 1 + round % kLastOfLargerRegion}] = now_ + kRetransmitDelay + kInterRegionDelay;
     run(500ms);
     EXPECT_TRUE(member(5).leads()) << round;
   }
@@ -135,21 +137,21 @@
   for (MemberId from = 1; from <= kMembers; ++from) {
     for (MemberId to = 1; to <= kMembers; ++to) {
       if (crosses(from, to)) {
-        cut_.insert({from, to});
+        cut_links_.insert({from, to});
       }
     }
   }
-  const uint64_t lost = member(5).propose("not confirmed", now_);
+  const uint64_t uncommitted = member(5).propose("not confirmed", now_);
   run(1500ms);
   const MemberId leader = leader_id();
   ASSERT_GE(leader, 1U);
-  EXPECT_LE(leader, kLastOfLarger);
+  EXPECT_LE(leader, kLastOfLargerRegion);
   EXPECT_FALSE(member(5).leads()) << "it would take commands that it can't commit";
-  EXPECT_LT(member(5).commit_index(), lost);
+  EXPECT_LT(member(5).commit_index(), uncommitted);
   const uint64_t index = member(leader).propose("command", now_);
   run(50ms);
   EXPECT_GE(member(leader).commit_index(), index);
-  cut_.clear();
+  cut_links_.clear();
   run(1s);
   EXPECT_EQ(leader_id(), leader) << "those who come back unseat nobody";
   EXPECT_GE(member(5).commit_index(), index);
@@ -157,15 +159,15 @@
 
 TEST_F(TwoRegionsLogTest, ACutInOneDirectionLeavesOneLeaderThatCommits) {
   ASSERT_TRUE(elect(5));
-  for (MemberId from = kLastOfLarger + 1; from <= kMembers; ++from) {
-    for (MemberId to = 1; to <= kLastOfLarger; ++to) {
-      cut_.insert({from, to});
+  for (MemberId from = kLastOfLargerRegion + 1; from <= kMembers; ++from) {
+    for (MemberId to = 1; to <= kLastOfLargerRegion; ++to) {
+      cut_links_.insert({from, to});
     }
   }
   run(2s);
   const MemberId leader = leader_id();
   ASSERT_GE(leader, 1U);
-  EXPECT_LE(leader, kLastOfLarger);
+  EXPECT_LE(leader, kLastOfLargerRegion);
   EXPECT_FALSE(member(5).leads());
   const uint64_t index = member(leader).propose("command", now_);
   run(50ms);
--- a/tests/unit/replica_test.cc
+++ b/tests/unit/replica_test.cc
@@ -16,7 +16,7 @@
   return MemberList{{{kSelf, "self", "", true}, {kLeader, "leader", "", true}, {kOther, "other", "", true}}};
 }
 
-RestoredState founded() {
+RestoredState bootstrapped_state() {
   RestoredState state;
   state.hard_state.term = 1;
   state.snapshot.index = 1;
@@ -28,10 +28,10 @@
 Replica make_replica() {
   ReplicaOptions options;
   options.id = kSelf;
-  return Replica(options, founded(), 1, TimePoint(0));
+  return Replica(options, bootstrapped_state(), 1, TimePoint(0));
 }
 
-Message from_leader(MessageKind kind, uint64_t term) {
+Message message_from_leader(MessageKind kind, uint64_t term) {
   Message message;
   message.kind = kind;
   message.from = kLeader;
@@ -40,8 +40,8 @@
   return message;
 }
 
-Message append_of(uint64_t previous, uint64_t count, uint64_t commit) {
-  Message message = from_leader(MessageKind::kAppend, 2);
+Message make_append(uint64_t previous, uint64_t count, uint64_t commit) {
+  Message message = message_from_leader(MessageKind::kAppend, 2);
   message.log_index = previous;
   message.log_term = previous == 1 ? 1 : 2;
   message.commit = commit;
@@ -53,40 +53,40 @@
 
 TEST(ReplicaTest, AnOldSnapshotDoesNotDropAcknowledgedEntriesBehindIt) {
   Replica replica = make_replica();
-  replica.receive(append_of(1, 5, 2), TimePoint(0));
+  replica.receive(make_append(1, 5, 2), TimePoint(0));
   replica.persisted(6, 2, TimePoint(0));
   ASSERT_EQ(replica.last_index(), 6U);
   Snapshot snapshot;
   snapshot.index = 4;
   snapshot.term = 2;
   snapshot.members = three_members();
-  Message piece = from_leader(MessageKind::kSnapshotPiece, 2);
-  piece.bytes = wire::encode(snapshot);
-  piece.log_index = snapshot.index;
-  piece.last_piece = true;
-  replica.receive(piece, TimePoint(0));
+  Message chunk = message_from_leader(MessageKind::kSnapshotChunk, 2);
+  chunk.bytes = wire::encode(snapshot);
+  chunk.log_index = snapshot.index;
+  chunk.last_chunk = true;
+  replica.receive(chunk, TimePoint(0));
   EXPECT_EQ(replica.last_index(), 6U) << "entries that were acknowledged are gone";
   EXPECT_EQ(replica.commit_index(), 4U);
 }
 
 TEST(ReplicaTest, ASnapshotOfAnotherHistoryReplacesTheLog) {
   Replica replica = make_replica();
-  replica.receive(append_of(1, 5, 1), TimePoint(0));
+  replica.receive(make_append(1, 5, 1), TimePoint(0));
   Snapshot snapshot;
   snapshot.index = 4;
   snapshot.term = 3;
   snapshot.members = three_members();
-  Message piece = from_leader(MessageKind::kSnapshotPiece, 3);
-  piece.bytes = wire::encode(snapshot);
-  piece.log_index = snapshot.index;
-  piece.last_piece = true;
-  replica.receive(piece, TimePoint(0));
+  Message chunk = message_from_leader(MessageKind::kSnapshotChunk, 3);
+  chunk.bytes = wire::encode(snapshot);
+  chunk.log_index = snapshot.index;
+  chunk.last_chunk = true;
+  replica.receive(chunk, TimePoint(0));
   EXPECT_EQ(replica.last_index(), 4U);
 }
 
 TEST(ReplicaTest, AVoteIsGivenOnceInATerm) {
   Replica replica = make_replica();
-  Message vote = from_leader(MessageKind::kVote, 5);
+  Message vote = message_from_leader(MessageKind::kVote, 5);
   vote.log_index = 1;
   vote.log_term = 1;
   replica.receive(vote, TimePoint(0));
@@ -98,7 +98,7 @@
 
 TEST(ReplicaTest, AVoteLeavesOnlyAfterItIsOnDisk) {
   Replica replica = make_replica();
-  Message vote = from_leader(MessageKind::kVote, 5);
+  Message vote = message_from_leader(MessageKind::kVote, 5);
   vote.log_index = 1;
   vote.log_term = 1;
   replica.receive(vote, TimePoint(0));
@@ -111,8 +111,8 @@
 
 TEST(ReplicaTest, ACandidateWithAnOlderLogGetsNoVote) {
   Replica replica = make_replica();
-  replica.receive(append_of(1, 3, 1), TimePoint(0));
-  Message vote = from_leader(MessageKind::kVote, 9);
+  replica.receive(make_append(1, 3, 1), TimePoint(0));
+  Message vote = message_from_leader(MessageKind::kVote, 9);
   vote.from = kOther;
   vote.log_index = 1;
   vote.log_term = 1;
@@ -123,8 +123,8 @@
 
 TEST(ReplicaTest, AHeardLeaderIsNotUnseatedByAMemberThatComesBack) {
   Replica replica = make_replica();
-  replica.receive(append_of(1, 1, 1), TimePoint(0));
-  Message vote = from_leader(MessageKind::kVote, 9);
+  replica.receive(make_append(1, 1, 1), TimePoint(0));
+  Message vote = message_from_leader(MessageKind::kVote, 9);
   vote.from = kOther;
   vote.log_index = 99;
   vote.log_term = 8;
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -31,7 +31,7 @@
     view_.age = age;
     return rollout::next_step(view_, options_);
   }
-  bool leads_to(RolloutPhase phase, Duration age, RolloutPhase expected) {
+  bool next_phase_is(RolloutPhase phase, Duration age, RolloutPhase expected) {
     const auto step = next(phase, age);
     return step && step->phase == expected;
   }
@@ -50,7 +50,7 @@
   EXPECT_GT(trial->share, 0.05);
   EXPECT_LT(trial->share, 0.09);
   EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "it is on trial as long as it can be";
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 8s, RolloutPhase::kSwitching));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 8s, RolloutPhase::kSwitching));
 }
 
 TEST_F(PlannerTest, CompletesOnlyWhenAllRoutersHaveLeftTheOthersAndNothingRunsThere) {
@@ -63,34 +63,34 @@
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 13s))
       << "its runs would be cut off; the deadline is missed instead";
   view_.others_running = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 10s, RolloutPhase::kCompleted));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 10s, RolloutPhase::kCompleted));
 }
 
 TEST_F(PlannerTest, ABadVersionGoesBackAlsoFromTheSwitch) {
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
   view_.all_applied = false;
   EXPECT_FALSE(next(RolloutPhase::kReturning, 4s));
   view_.all_applied = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
 }
 
 TEST_F(PlannerTest, BackEndsThatNeverComeOrAreTooFewGoBackBeforeTheDeadline) {
   view_.target_ready = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
   view_.target_ready = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more may come";
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
 TEST_F(PlannerTest, AVersionThatWasNotSeenOrIsInDoubtGoesBack) {
   view_.judgement.answers = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
   view_.judgement.answers = 200;
   view_.judgement.doubt = 0.7;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
 TEST_F(PlannerTest, WhenAllOthersHaveGoneAVersionThatWasSeenTakesOver) {
@@ -98,31 +98,31 @@
   view_.others_gone = 200ms;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "they may be back at once";
   view_.others_gone = 2s;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning)) << "a bad one does not";
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning)) << "a bad one does not";
 }
 
 TEST_F(PlannerTest, AServiceThatTheConfigurationDropsGoesBack) {
   view_.service_known = false;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
 }
 
 TEST_F(PlannerTest, ALeaderThatComesAfterTheDeadlineEndsIt) {
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
   view_.judgement.answers = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
   view_.all_applied = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
 }
 
 TEST_F(PlannerTest, AVersionThatHasHadItsShareIsHeld) {
   view_.target_sent = 0.09 * view_.all_sent + 40;
-  const auto held = next(RolloutPhase::kTrial, 5s);
-  ASSERT_TRUE(held);
-  EXPECT_EQ(held->share, 0);
+  const auto on_hold = next(RolloutPhase::kTrial, 5s);
+  ASSERT_TRUE(on_hold);
+  EXPECT_EQ(on_hold->share, 0);
 }
 
 TEST_F(PlannerTest, OfFewBackEndsOneBearsTheFullLoadInBursts) {
@@ -132,8 +132,9 @@
   ASSERT_TRUE(burst);
   EXPECT_DOUBLE_EQ(burst->share, 0.25);
   view_.target_sent = 240;
-  const auto unearned = next(RolloutPhase::kTrial, 5s);
-  EXPECT_TRUE(!unearned || unearned->share < 0.2) << "its part of the requests so far does not allow it";
+  const auto over_budget = next(RolloutPhase::kTrial, 5s);
+  EXPECT_TRUE(!over_budget || over_budget->share < 0.2)
+      << "its part of the requests so far does not allow it";
 }
 
 TEST_F(PlannerTest, TheOnlyVersionThereIsServesAndIsDone) {
@@ -149,13 +150,13 @@
 TEST(PlannerOptionsTest, SpendLessThanOperatorsAllow) {
   const rollout::PlannerOptions usual = rollout::planner_options({0.1, 50});
   EXPECT_DOUBLE_EQ(usual.share, rollout::PlannerOptions{}.share);
-  EXPECT_DOUBLE_EQ(usual.extra, rollout::PlannerOptions{}.extra);
+  EXPECT_DOUBLE_EQ(usual.extra_requests, rollout::PlannerOptions{}.extra_requests);
   EXPECT_DOUBLE_EQ(usual.hold_share, rollout::PlannerOptions{}.hold_share);
-  EXPECT_DOUBLE_EQ(usual.hold_extra, rollout::PlannerOptions{}.hold_extra);
+  EXPECT_DOUBLE_EQ(usual.hold_extra_requests, rollout::PlannerOptions{}.hold_extra_requests);
   const rollout::PlannerOptions strict = rollout::planner_options({0.02, 10});
   EXPECT_LT(strict.share, strict.hold_share);
   EXPECT_LT(strict.hold_share, 0.02);
-  EXPECT_LT(strict.hold_extra, 10);
+  EXPECT_LT(strict.hold_extra_requests, 10);
 }
 
 TEST(PlannerOptionsTest, BoundsThatAreWrongBecomeFindings) {
--- a/tests/unit/service_rollout_test.cc
+++ b/tests/unit/service_rollout_test.cc
@@ -59,7 +59,7 @@
   EXPECT_EQ(order("v2", 4000), ResultCode::kOk);
   EXPECT_EQ(rollout().id, first) << "the order was repeated because its acknowledgement was lost";
   EXPECT_EQ(rollout().phase, RolloutPhase::kRolledBack);
-  EXPECT_EQ(order("v2", 1000 + fleet::kRepeatedOrderMs), ResultCode::kOk);
+  EXPECT_EQ(order("v2", 1000 + fleet::kRepeatedOrderWindowMs), ResultCode::kOk);
   EXPECT_GT(rollout().id, first);
   EXPECT_EQ(rollout().phase, RolloutPhase::kWaiting);
 }
