--- a/src/consensus/log.h
+++ b/src/consensus/log.h
@@ -1,4 +1,4 @@
-/// The replicated log in memory: a snapshot, and the entries after it.
+/// In-memory part of the replicated log: the position of the latest snapshot and the entries after it.
 #pragma once
 
 #include <deque>
@@ -17,21 +17,22 @@
   uint64_t snapshot_term() const { return snapshot_term_; }
   uint64_t last_index() const { return snapshot_index_ + entries_.size(); }
   uint64_t last_term() const { return entries_.empty() ? snapshot_term_ : entries_.back().term; }
-  /// True when the index is in the log or is the snapshot's own.
+  /// True when the index is that of the snapshot or of an entry after it, so that its term is known.
   bool holds(uint64_t index) const { return index >= snapshot_index_ && index <= last_index(); }
-  /// The term at an index that holds().
+  /// The term at an index. Requires holds(index).
   uint64_t term_at(uint64_t index) const;
-  /// The entry at an index after the snapshot and not past the end.
+  /// The entry at an index. Requires snapshot_index() < index <= last_index().
   const Entry& at(uint64_t index) const { return entries_[index - snapshot_index_ - 1]; }
-  /// Up to `max_count` entries from `first` on, and about `max_bytes` of payload, at least one.
+  /// Entries from index `first` on: at most `max_count` of them and `max_bytes` of payload, but at least one
+  /// if there is any, whatever its size.
   std::vector<Entry> slice(uint64_t first, size_t max_count, size_t max_bytes) const;
 
   void append(Entry entry) { entries_.push_back(std::move(entry)); }
-  /// Drops the entries from `index` on.
+  /// Removes the entries from `index` on.
   void truncate_from(uint64_t index);
-  /// Drops the entries up to and including `index`, which a snapshot now covers.
+  /// Removes the entries up to and including `index`, which a snapshot now covers.
   void compact_to(uint64_t index, uint64_t term);
-  /// Drops everything; the log goes on after a snapshot.
+  /// Removes all entries and restarts the log after the snapshot at `index`.
   void reset_to(uint64_t index, uint64_t term);
 
  private:
--- a/src/consensus/message.h
+++ b/src/consensus/message.h
@@ -1,4 +1,4 @@
-/// What the members of the replicated log send to one another and write to disk.
+/// Messages that members of the replicated log exchange, and records that they write to disk.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace stoat::consensus {
 
-/// Identity of a member. A member whose disk was lost comes back under a new identity. 0 means none.
+/// Identity of a member. A member that lost its disk rejoins under a new identity. 0 means none.
 using MemberId = uint64_t;
 
-/// What a log entry holds.
+/// Content of a log entry.
 enum class EntryKind : uint8_t { kEmpty, kCommand, kMembers };
 
 /// One entry of the replicated log.
@@ -24,24 +24,24 @@
   bool operator==(const Entry&) const = default;
 };
 
-/// One member as the log knows it.
+/// One member of the replication group.
 struct Member {
   MemberId id = 0;
-  std::string name;     ///< the operators' name of the machine's place
+  std::string name;     ///< operator-assigned name of the machine
   std::string address;  ///< "address:port" of the peer protocol
-  bool voter = false;   ///< false: a learner, which receives the log but does not count
+  bool voter = false;   ///< false: a learner, which receives the log but does not count towards a quorum
   MSGPACK_DEFINE_ARRAY(id, name, address, voter)
   bool operator==(const Member&) const = default;
 };
 
-/// The members, as carried by an entry of kind kMembers and by a snapshot.
+/// The group membership, as stored in an entry of kind kMembers and in a snapshot.
 struct MemberList {
   std::vector<Member> members;
   MSGPACK_DEFINE_ARRAY(members)
   bool operator==(const MemberList&) const = default;
 };
 
-/// What must be on disk before a vote or an acknowledgement leaves the machine.
+/// Raft state that must be on disk before a vote or an acknowledgement is sent.
 struct HardState {
   uint64_t term = 0;
   MemberId voted_for = 0;
@@ -49,7 +49,7 @@
   bool operator==(const HardState&) const = default;
 };
 
-/// The state up to and including `index`, in one piece.
+/// The complete state up to and including the entry at `index`.
 struct Snapshot {
   uint64_t index = 0;
   uint64_t term = 0;
@@ -60,33 +60,33 @@
 
 /// Kinds of peer messages.
 enum class MessageKind : uint8_t {
-  kPreVote,  ///< would you vote for me? changes nothing at the receiver
+  kPreVote,  ///< asks whether a vote would be granted; changes no state at the receiver
   kPreVoteResponse,
   kVote,
   kVoteResponse,
   kAppend,  ///< entries after (log_index, log_term); empty ones are heartbeats
   kAppendResponse,
-  kSnapshotChunk,  ///< one piece of an encoded Snapshot
+  kSnapshotChunk,  ///< part of an encoded Snapshot
   kSnapshotResponse,
-  kTimeoutNow,  ///< the leader hands over on a planned stop
+  kTimeoutNow,  ///< leadership transfer: the receiver starts an election at once
 };
 
-/// One peer message. Which fields count depends on `kind`.
+/// One peer message. Which fields are used depends on `kind`.
 struct Message {
   MessageKind kind = MessageKind::kAppend;
   MemberId from = 0;
   MemberId to = 0;
   uint64_t term = 0;
   uint64_t log_index =
-      0;  ///< previous index of an append; last index of a candidate; match index of an answer
+      0;  ///< index before the entries of an append; last index of a candidate; match index in a response
   uint64_t log_term = 0;
   uint64_t commit = 0;
-  uint64_t round = 0;  ///< heartbeat round, echoed by answers; confirms reads
+  uint64_t round = 0;  ///< heartbeat round, echoed in responses; used to confirm reads
   bool granted = false;
   std::vector<Entry> entries;
-  uint64_t offset = 0;      ///< of a snapshot piece; of an append's answer: the log_index that it answers
-  bool last_chunk = false;  ///< of a snapshot piece
-  std::string bytes;        ///< of a snapshot piece
+  uint64_t offset = 0;      ///< of a snapshot chunk; in an append response: log_index of the append
+  bool last_chunk = false;  ///< of a snapshot chunk
+  std::string bytes;        ///< of a snapshot chunk
   MSGPACK_DEFINE_ARRAY(kind, from, to, term, log_index, log_term, commit, round, granted, entries, offset,
                        last_chunk, bytes)
 };
--- a/src/consensus/replica.cc
+++ b/src/consensus/replica.cc
@@ -188,7 +188,8 @@
 
 void Replica::on_vote_request(const Message& message, TimePoint now) {
   const bool pre_vote = message.kind == MessageKind::kPreVote;
-  // A leader that is heard keeps its place: a member that was cut off can't unseat it by coming back.
+  // Vote requests are ignored while a leader is in contact, so that a member that rejoins after a network
+  // partition cannot depose it.
   const bool has_live_leader =
       role_ == Role::kLeader || (leader_ != 0 && now - last_leader_contact_ < options_.election_timeout);
   const bool ignored = has_live_leader && !message.granted;
@@ -263,7 +264,7 @@
   quorum_confirmed_at_ = now;
   reset_election_deadline(now);
   if (message.log_index < log_.snapshot_index()) {
-    // Everything up to the snapshot is committed and so matches.
+    // Everything up to the snapshot is committed and therefore matches.
     respond_to_append(message, true, log_.snapshot_index());
     return;
   }
@@ -341,7 +342,7 @@
   response.round = message.round;
   response.offset = snapshot_buffer_.size();
   response.log_term = message.log_index;
-  // What is committed here matches the leader's log, also where it goes beyond the snapshot that was sent.
+  // Committed entries match the leader's log, even beyond the snapshot that was sent.
   response.log_index = commit_;
   output_.send_after_persist.push_back(response);
 }
@@ -353,7 +354,7 @@
     return;
   }
   if (log_.holds(snapshot->index) && log_.term_at(snapshot->index) == snapshot->term) {
-    // The log goes beyond the snapshot, and what follows may have been acknowledged: keep it.
+    // The log already contains the snapshot; entries after it may have been acknowledged and must be kept.
     snapshot_buffer_.clear();
     advance_commit_to(snapshot->index);
     return;
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -1,6 +1,6 @@
-/// One member of the replicated log: elections with pre-vote, replication, check-quorum, confirmed reads,
-/// snapshots, membership changes one at a time, and handing over. Free of I/O: takes messages and the time,
-/// gives an Output.
+/// One member of the replicated log, implementing Raft: elections with pre-vote, replication, check-quorum,
+/// linearizable reads, snapshots, single-server membership changes and leadership transfer. Performs no I/O:
+/// its inputs are messages and the current time, its result is an Output.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 /// Settings of a replica.
 struct ReplicaOptions {
   MemberId id = 0;
-  Duration election_timeout = 500ms;  ///< a follower waits between one and two of these
+  Duration election_timeout = 500ms;  ///< the actual time-out is drawn between one and two times this
   Duration heartbeat_interval = 100ms;
   size_t max_append_entries = 1024;
   size_t max_append_bytes = 1U << 20U;
@@ -27,24 +27,24 @@
   size_t snapshot_piece_bytes = 256U << 10U;
 };
 
-/// What was found on disk at the start.
+/// State read from disk at start-up.
 struct RestoredState {
   HardState hard_state;
   Snapshot snapshot;  ///< index 0: none
   std::vector<Entry> entries;
 };
 
-/// The part that a replica plays.
+/// Raft role of a replica.
 enum class Role : uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// What the driver must do, in this order: send `send_now`; write `install`, `truncate_from`, `append` and
-/// `hard_state` to disk and sync; call persisted(); send `send_after_persist`; load `install` and apply
-/// `committed`.
+/// Work for the driver, in this order: send `send_now`; write `install`, `truncate_from`, `append` and
+/// `hard_state` to disk and sync; call persisted(); send `send_after_persist`; load `install` into the state
+/// machine and apply `committed`.
 struct Output {
   std::vector<Message> send_now;
   std::optional<HardState> hard_state;
   std::optional<Snapshot> install;
-  uint64_t truncate_from = 0;  ///< drop entries on disk from this index on; 0: none
+  uint64_t truncate_from = 0;  ///< delete entries on disk from this index on; 0: none
   std::vector<Entry> append;
   std::vector<Message> send_after_persist;
   std::vector<Entry> committed;
@@ -52,7 +52,7 @@
   bool needs_disk() const { return hard_state || install || truncate_from != 0 || !append.empty(); }
 };
 
-/// Why a proposal was not taken.
+/// Why a membership proposal was rejected.
 enum class ProposeError : uint8_t {
   kNone,
   kNotLeader,
@@ -61,30 +61,32 @@
   kDuplicateMember
 };
 
-/// See the head of this file.
+/// One Raft replica, see the top of this file.
 class Replica {
  public:
   Replica(const ReplicaOptions& options, const RestoredState& restored, uint64_t seed, TimePoint now);
 
-  /// Handles a message. One for another identity, or from an unknown kind of sender, is dropped.
+  /// Handles a message. Messages addressed to another identity are dropped.
   void receive(const Message& message, TimePoint now);
-  /// To be called every few milliseconds.
+  /// Drives time-outs and heartbeats. Must be called every few milliseconds.
   void tick(TimePoint now);
-  /// Appends a command. Returns its log index, or 0 when this member does not lead.
+  /// Appends a command. Returns its log index, or 0 when this member is not the leader.
   uint64_t propose(std::string payload, TimePoint now);
-  /// Proposes a new member list, which may add or remove at most one voter.
+  /// Proposes a new member list, which may add or remove at most one voter and must keep at least one.
   ProposeError propose_members(const MemberList& members, TimePoint now);
-  /// Asks for a confirmed read; `read_id` appears in Output::confirmed_reads. False when this member does not
-  /// lead.
+  /// Requests a linearizable read; `read_id` appears in Output::confirmed_reads once a quorum has confirmed
+  /// the leader. Returns false when this member is not the leader or has not committed an entry of its term
+  /// yet.
   bool request_read(uint64_t read_id, TimePoint now);
-  /// Takes what is to be done since the last call.
+  /// Returns the work that has accumulated since the last call.
   Output take_output();
-  /// The log up to `index` (whose term was `term`) is on disk.
+  /// Reports that the log up to `index`, whose entry has the term `term`, is on disk.
   void persisted(uint64_t index, uint64_t term, TimePoint now);
-  /// The state machine has written a snapshot: entries up to it may go.
+  /// Reports that the state machine has written a snapshot, and removes the log entries that it covers.
   void compact(std::shared_ptr<const std::string> encoded_snapshot, uint64_t index, uint64_t term,
                const MemberList& members);
-  /// On a planned stop: asks the most advanced voter to take over. False when there is none.
+  /// Transfers leadership before a planned stop: asks the most up-to-date voter to start an election. Returns
+  /// false when this member is not the leader or no other voter has the whole log yet.
   bool hand_over(TimePoint now);
 
   Role role() const { return role_; }
@@ -100,22 +102,23 @@
   uint64_t term_at(uint64_t index) const { return log_.term_at(index); }
   bool holds(uint64_t index) const { return log_.holds(index); }
   const MemberList& members() const { return members_; }
-  /// The members as of the last committed index; what a snapshot must carry.
+  /// The membership as of the commit index, which is the one that a snapshot must contain.
   MemberList committed_members() const;
-  /// Since when a quorum has not confirmed this member; a follower counts from its leader's last word.
+  /// When a quorum last confirmed this member as the leader. On a follower: when its leader last sent an
+  /// append or a snapshot chunk.
   TimePoint quorum_confirmed_at() const { return quorum_confirmed_at_; }
-  /// Leader only: how far a member's log is known to match.
+  /// Leader only: the highest index up to which a member's log is known to match.
   uint64_t match_of(MemberId member) const;
-  /// Leader only: when a member last answered.
+  /// Leader only: when a member last responded.
   TimePoint last_answer_of(MemberId member) const;
-  /// Leader only: true once an entry of its own term is committed, so that its commit index covers all that
-  /// was acknowledged before.
+  /// True on a leader that has committed an entry of its own term, so that its commit index covers everything
+  /// that earlier leaders acknowledged.
   bool term_committed() const { return leads() && commit_ >= term_start_index_; }
-  /// True when this member counts in quorums.
+  /// True when this member counts towards a quorum.
   bool is_voter() const;
 
  private:
-  /// What the leader knows of one other member.
+  /// The leader's replication state for one other member.
   struct Progress {
     uint64_t match = 0;
     uint64_t next = 1;
@@ -123,7 +126,7 @@
     uint64_t confirmed_round = 0;
     TimePoint last_response{0};
     TimePoint last_sent{0};
-    bool probing = false;  ///< looking for where the logs part; one append at a time
+    bool probing = false;  ///< searching for the last matching entry; one append at a time
     bool sending_snapshot = false;
     uint64_t snapshot_offset = 0;
   };
@@ -133,7 +136,7 @@
     uint64_t round = 0;
   };
 
-  // replica.cc: terms, elections, what a follower does
+  // replica.cc: terms, elections, follower side
   void become_follower(uint64_t term, MemberId leader, TimePoint now);
   void start_election(bool pre_vote, bool forced, TimePoint now);
   void become_leader(TimePoint now);
@@ -152,7 +155,7 @@
   void set_term(uint64_t term, MemberId voted_for);
   Message make_message(MessageKind kind, MemberId to) const;
 
-  // replica_leader.cc: what a leader does
+  // replica_leader.cc: leader side
   void on_append_response(const Message& message, TimePoint now);
   void on_snapshot_response(const Message& message, TimePoint now);
   void send_append(MemberId member, Progress& progress, bool heartbeat, TimePoint now);
@@ -185,7 +188,7 @@
   std::set<MemberId> votes_;
   std::string snapshot_buffer_;
   uint64_t snapshot_buffer_term_ = 0;
-  uint64_t snapshot_buffer_index_ = 0;  ///< index of the snapshot that is being received
+  uint64_t snapshot_buffer_index_ = 0;  ///< index of the snapshot being received
 
   std::map<MemberId, Progress> progress_;
   std::vector<PendingRead> reads_;
--- a/src/consensus/replica_leader.cc
+++ b/src/consensus/replica_leader.cc
@@ -1,4 +1,4 @@
-// The leader's side of Replica: replication, commitment, confirmed reads, membership and handing over.
+// Leader side of Replica: replication, commitment, linearizable reads, membership and leadership transfer.
 #include <algorithm>
 
 #include "src/consensus/replica.h"
@@ -12,7 +12,7 @@
   progress_.clear();
   reads_.clear();
   round_started_at_.clear();
-  // An entry of the new term commits what earlier terms left behind.
+  // Committing an entry of the new term also commits the entries of earlier terms.
   Entry entry;
   entry.index = log_.last_index() + 1;
   entry.term = hard_state_.term;
@@ -109,7 +109,7 @@
     return;
   }
   if (progress.sending_snapshot) {
-    // A late answer to an earlier append has shown that the follower needs no snapshot.
+    // A late response to an earlier append has shown that the follower needs no snapshot.
     progress.sending_snapshot = false;
     progress.snapshot_offset = 0;
     progress.inflight = 0;
@@ -165,10 +165,10 @@
     return;
   }
   if (message.log_term != log_.snapshot_index()) {
-    return;  // about a snapshot that a later one has replaced
+    return;  // the response is for a snapshot that has since been replaced
   }
-  // Only an answer that brings the transfer on makes the next piece go out at once. Were every answer to do
-  // so, messages that the network doubles would double for ever; what is lost goes out again with the next
+  // Only a response that advances the transfer triggers the next chunk at once. If every response did, a
+  // message duplicated by the network would be duplicated for ever. Lost chunks are resent with the next
   // heartbeat.
   const bool advances = message.offset > progress.snapshot_offset;
   if (advances || message.round == round_) {
@@ -193,7 +193,7 @@
   for (auto& [member, progress] : progress_) {
     const bool stopped_responding = now - progress.last_response > options_.heartbeat_interval * 3;
     if (stopped_responding && !progress.sending_snapshot) {
-      // What was under way may be lost: go back to what is known to match.
+      // Appends in flight may be lost: resume after the last entry known to match.
       progress.next = progress.match + 1;
       progress.inflight = 0;
       progress.probing = false;
@@ -214,7 +214,7 @@
   progress.inflight -= progress.inflight > 0 ? 1 : 0;
   progress.confirmed_round = std::max(progress.confirmed_round, message.round);
   confirm_reads();
-  // As with snapshots, an answer that tells nothing new sends nothing.
+  // As with snapshots, a response without new information triggers no message.
   if (message.granted) {
     progress.probing = false;
     if (message.log_index <= progress.match) {
@@ -262,7 +262,7 @@
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const uint64_t quorum_match = matches[quorum_size() - 1];
-  // Only an entry of the own term may be counted; it commits all before it.
+  // Only entries of the current term are committed by counting replicas; this commits all earlier ones.
   if (quorum_match > commit_ && log_.term_at(quorum_match) == hard_state_.term) {
     advance_commit_to(quorum_match);
   }
--- a/src/topology/topology.cc
+++ b/src/topology/topology.cc
@@ -64,7 +64,7 @@
     }
     const std::string zone = entry.substr(slash + 1);
     if (!regions.emplace(zone, entry.substr(0, slash)).second) {
-      settings.add_finding(kKey, "zone \"" + zone + "\" stands twice");
+      settings.add_finding(kKey, "zone \"" + zone + "\" is listed more than once");
     }
   }
   return Topology(std::move(regions));
--- a/src/topology/topology.h
+++ b/src/topology/topology.h
@@ -1,5 +1,5 @@
-/// Where the places of a deployment lie: which zone belongs to which region, and how far two zones are apart.
-/// The one module that compares zones; the others ask it.
+/// Topology of a deployment: which zone belongs to which region, and the distance between two zones. All zone
+/// comparisons go through this module.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,31 @@
 
 namespace stoat::topology {
 
-/// How far two zones are apart, nearest first.
+/// Distance between two zones, nearest first.
 enum class Distance : uint8_t {
   kSameZone,
-  kSameRegion,   ///< another zone of one region
-  kOtherRegion,  ///< the way between two regions
+  kSameRegion,   ///< different zones of the same region
+  kOtherRegion,  ///< zones of different regions
 };
 
-/// The name of a distance in logs and metrics: "zone", "region" (another zone of it), "regions" (between
-/// two).
+/// The name of a distance in logs and metrics: "zone" (same zone), "region" (same region, different zone) or
+/// "regions" (different regions).
 const char* to_text(Distance distance);
 
-/// A zone and its region as numbers that are quick to compare.
+/// A zone and its region as 64-bit hashes, which are cheap to compare.
 struct Place {
   uint64_t zone = 0;
   uint64_t region = 0;
   bool operator==(const Place&) const = default;
 };
 
-/// How far two places are apart.
+/// The distance between two places.
 Distance distance(const Place& place, const Place& other);
 
-/// See the head of this file. Zones that it does not know belong to one unnamed region.
+/// Maps zones to regions. All unknown zones belong to one unnamed region.
 class Topology {
  public:
-  /// Knows no zone: all places lie in one region.
+  /// Without any known zone: all zones are in one region.
   Topology() = default;
   /// `regions`: the region of each zone.
   explicit Topology(std::map<std::string, std::string> regions) : regions_(std::move(regions)) {}
@@ -53,7 +53,8 @@
   std::map<std::string, std::string> regions_;  ///< by zone
 };
 
-/// Reads the list "zones" of "region/zone" entries; malformed or repeated ones become findings.
+/// Reads the setting "zones", a list of "region/zone" entries. Adds a finding for each malformed or duplicate
+/// entry.
 Topology read_topology(SettingsReader& settings);
 
 }  // namespace stoat::topology
--- a/tests/unit/replica_leader_test.cc
+++ b/tests/unit/replica_leader_test.cc
@@ -1,4 +1,4 @@
-// What a leader sends, message by message.
+// Messages that a leader sends in response to single messages: snapshots and appends to a lagging member.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -54,7 +54,7 @@
     message.offset = answered_index;
     replica_.receive(message, now_);
   }
-  /// Proposes entries that the other member acknowledges, and keeps the log from `snapshot_index` on only.
+  /// Proposes entries that kOther acknowledges, then compacts the log up to `snapshot_index`.
   void fill_and_compact(uint64_t entries, uint64_t snapshot_index) {
     for (uint64_t number = 0; number < entries; ++number) {
       replica_.propose("entry", now_);
@@ -69,7 +69,7 @@
                      three_members());
     replica_.take_output();
   }
-  /// How many messages of a kind go to the member that is behind.
+  /// Number of messages of a kind sent to the lagging member since the last call.
   int64_t sent_to_lagging(MessageKind kind) {
     const std::vector<Message> sent = replica_.take_output().send_now;
     return std::count_if(sent.begin(), sent.end(), [kind](const Message& message) {
@@ -81,25 +81,25 @@
   Replica replica_;
 };
 
-TEST_F(ReplicaLeaderTest, SendsASnapshotToAMemberWhoseEntriesAreGone) {
+TEST_F(ReplicaLeaderTest, SendsSnapshotWhenEntriesAreCompacted) {
   ASSERT_TRUE(replica_.leads());
   fill_and_compact(10, 10);
   deliver_response(MessageKind::kAppendResponse, kLagging, false, 1, 2);
   EXPECT_EQ(sent_to_lagging(MessageKind::kSnapshotChunk), 1);
 }
 
-TEST_F(ReplicaLeaderTest, GoesOnWithEntriesWhenALateAnswerShowsThatNoSnapshotIsNeeded) {
+TEST_F(ReplicaLeaderTest, ResumesAppendsWhenALateResponseMakesTheSnapshotUnnecessary) {
   ASSERT_TRUE(replica_.leads());
   fill_and_compact(10, 10);
   deliver_response(MessageKind::kAppendResponse, kLagging, false, 1, 2);
   ASSERT_EQ(sent_to_lagging(MessageKind::kSnapshotChunk), 1);
-  // The answer to an append that was sent before has taken longer.
+  // A delayed response to an append sent before the snapshot.
   deliver_response(MessageKind::kAppendResponse, kLagging, true, 11);
   replica_.take_output();
   now_ += 200ms;
   deliver_response(MessageKind::kAppendResponse, kOther, true, replica_.last_index());
   replica_.tick(now_);
-  EXPECT_EQ(sent_to_lagging(MessageKind::kAppend), 1) << "the member hears nothing any more";
+  EXPECT_EQ(sent_to_lagging(MessageKind::kAppend), 1) << "the lagging member gets no more messages";
 }
 
 }  // namespace
--- a/tests/unit/replica_regions_test.cc
+++ b/tests/unit/replica_regions_test.cc
@@ -1,4 +1,5 @@
-// The replicated log over two regions: three members in one, two in the other, 20 ms one way between them.
+// The replicated log across two regions: three members in one, two in the other, 20 ms one-way delay between
+// them.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -11,8 +12,8 @@
 namespace {
 
 constexpr Duration kStep = 1ms;
-constexpr Duration kInterRegionDelay = 20ms;  ///< between regions
-constexpr Duration kRetransmitDelay = 250ms;  ///< until a lost packet is sent again
+constexpr Duration kInterRegionDelay = 20ms;  ///< one way
+constexpr Duration kRetransmitDelay = 250ms;  ///< until a lost packet is retransmitted
 constexpr MemberId kLastOfLargerRegion = 3;   ///< members 1 to 3 share a region, 4 and 5 the other
 constexpr MemberId kMembers = 5;
 
@@ -20,7 +21,7 @@
   return (from <= kLastOfLargerRegion) != (to <= kLastOfLargerRegion);
 }
 
-/// Five replicas with connections that keep the order of their messages. Disks take no time.
+/// Five replicas connected by links that keep messages in order. Disk writes take no time.
 class TwoRegionsLogTest : public ::testing::Test {
  protected:
   TwoRegionsLogTest() {
@@ -51,7 +52,7 @@
       deliver();
     }
   }
-  /// Lets only this member stand for election until it leads.
+  /// Lets only this member start elections, for 2 s. Returns true when it is the leader afterwards.
   bool elect(MemberId id) {
     only_candidate_ = id;
     run(2s);
@@ -59,7 +60,7 @@
     run(500ms);
     return leader_id() == id;
   }
-  /// The member with the highest term that leads; 0: none.
+  /// The leader with the highest term; 0: none.
   MemberId leader_id() const {
     MemberId leader = 0;
     for (const auto& [id, replica] : replicas_) {
@@ -113,18 +114,18 @@
   std::map<std::pair<MemberId, MemberId>, std::deque<QueuedMessage>> links_;
 };
 
-TEST_F(TwoRegionsLogTest, ACommandOfTheLeaderInTheSmallerRegionIsCommittedAfterOneWayThereAndBack) {
+TEST_F(TwoRegionsLogTest, LeaderInTheSmallerRegionCommitsAfterOneRoundTrip) {
   ASSERT_TRUE(elect(5));
   const uint64_t index = member(5).propose("command", now_);
   run(2 * kInterRegionDelay + 10ms);
   EXPECT_GE(member(5).commit_index(), index);
 }
 
-TEST_F(TwoRegionsLogTest, LostPacketsTowardsTheOtherRegionUnseatNoLeader) {
+TEST_F(TwoRegionsLogTest, PacketLossBetweenRegionsDoesNotDeposeTheLeader) {
   ASSERT_TRUE(elect(5));
   const uint64_t term = member(5).term();
   for (int round = 0; round < 20; ++round) {
-    // One connection after the other: what follows a lost packet waits until it was sent again.
+    // One link after the other: messages behind a lost packet wait for its retransmission.
     delayed_until_[{5, 1 + round % kLastOfLargerRegion}] = now_ + kRetransmitDelay + kInterRegionDelay;
     run(500ms);
     EXPECT_TRUE(member(5).leads()) << round;
@@ -132,7 +133,7 @@
   EXPECT_EQ(member(5).term(), term);
 }
 
-TEST_F(TwoRegionsLogTest, TheLargerSideGoesOnWhenTheRegionsAreCutAndTheSmallerCommitsNothing) {
+TEST_F(TwoRegionsLogTest, OnlyTheLargerRegionCommitsDuringAPartition) {
   ASSERT_TRUE(elect(5));
   for (MemberId from = 1; from <= kMembers; ++from) {
     for (MemberId to = 1; to <= kMembers; ++to) {
@@ -146,18 +147,18 @@
   const MemberId leader = leader_id();
   ASSERT_GE(leader, 1U);
   EXPECT_LE(leader, kLastOfLargerRegion);
-  EXPECT_FALSE(member(5).leads()) << "it would take commands that it can't commit";
+  EXPECT_FALSE(member(5).leads()) << "it would accept commands that it cannot commit";
   EXPECT_LT(member(5).commit_index(), uncommitted);
   const uint64_t index = member(leader).propose("command", now_);
   run(50ms);
   EXPECT_GE(member(leader).commit_index(), index);
   cut_links_.clear();
   run(1s);
-  EXPECT_EQ(leader_id(), leader) << "those who come back unseat nobody";
+  EXPECT_EQ(leader_id(), leader) << "members that rejoin must not depose the leader";
   EXPECT_GE(member(5).commit_index(), index);
 }
 
-TEST_F(TwoRegionsLogTest, ACutInOneDirectionLeavesOneLeaderThatCommits) {
+TEST_F(TwoRegionsLogTest, OneWayPartitionLeavesOneLeaderThatCommits) {
   ASSERT_TRUE(elect(5));
   for (MemberId from = kLastOfLargerRegion + 1; from <= kMembers; ++from) {
     for (MemberId to = 1; to <= kLastOfLargerRegion; ++to) {
--- a/tests/unit/replica_test.cc
+++ b/tests/unit/replica_test.cc
@@ -1,4 +1,4 @@
-// One replica's answers to single messages.
+// Reactions of one follower to single messages: snapshots and votes.
 #include "src/consensus/replica.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   return message;
 }
 
-TEST(ReplicaTest, AnOldSnapshotDoesNotDropAcknowledgedEntriesBehindIt) {
+TEST(ReplicaTest, OldSnapshotKeepsAcknowledgedEntriesAfterIt) {
   Replica replica = make_replica();
   replica.receive(make_append(1, 5, 2), TimePoint(0));
   replica.persisted(6, 2, TimePoint(0));
@@ -65,11 +65,11 @@
   chunk.log_index = snapshot.index;
   chunk.last_chunk = true;
   replica.receive(chunk, TimePoint(0));
-  EXPECT_EQ(replica.last_index(), 6U) << "entries that were acknowledged are gone";
+  EXPECT_EQ(replica.last_index(), 6U) << "acknowledged entries were removed";
   EXPECT_EQ(replica.commit_index(), 4U);
 }
 
-TEST(ReplicaTest, ASnapshotOfAnotherHistoryReplacesTheLog) {
+TEST(ReplicaTest, ConflictingSnapshotReplacesTheLog) {
   Replica replica = make_replica();
   replica.receive(make_append(1, 5, 1), TimePoint(0));
   Snapshot snapshot;
@@ -84,7 +84,7 @@
   EXPECT_EQ(replica.last_index(), 4U);
 }
 
-TEST(ReplicaTest, AVoteIsGivenOnceInATerm) {
+TEST(ReplicaTest, VotesOncePerTerm) {
   Replica replica = make_replica();
   Message vote = message_from_leader(MessageKind::kVote, 5);
   vote.log_index = 1;
@@ -96,7 +96,7 @@
   EXPECT_EQ(replica.voted_for(), kLeader);
 }
 
-TEST(ReplicaTest, AVoteLeavesOnlyAfterItIsOnDisk) {
+TEST(ReplicaTest, VoteIsSentOnlyAfterPersisting) {
   Replica replica = make_replica();
   Message vote = message_from_leader(MessageKind::kVote, 5);
   vote.log_index = 1;
@@ -109,19 +109,19 @@
   EXPECT_EQ(output.hard_state->voted_for, kLeader);
 }
 
-TEST(ReplicaTest, ACandidateWithAnOlderLogGetsNoVote) {
+TEST(ReplicaTest, CandidateWithOlderLogGetsNoVote) {
   Replica replica = make_replica();
   replica.receive(make_append(1, 3, 1), TimePoint(0));
   Message vote = message_from_leader(MessageKind::kVote, 9);
   vote.from = kOther;
   vote.log_index = 1;
   vote.log_term = 1;
-  vote.granted = true;  // the leader handed over, so the lease does not protect it
+  vote.granted = true;  // set on a leadership transfer: the check for a live leader is skipped
   replica.receive(vote, TimePoint(0));
   EXPECT_NE(replica.voted_for(), kOther);
 }
 
-TEST(ReplicaTest, AHeardLeaderIsNotUnseatedByAMemberThatComesBack) {
+TEST(ReplicaTest, RejoiningMemberDoesNotDeposeALiveLeader) {
   Replica replica = make_replica();
   replica.receive(make_append(1, 1, 1), TimePoint(0));
   Message vote = message_from_leader(MessageKind::kVote, 9);
--- a/tests/unit/topology_test.cc
+++ b/tests/unit/topology_test.cc
@@ -1,4 +1,4 @@
-// Distances between zones, and the setting that tells which zone lies in which region.
+// Distances between zones, and the setting that assigns zones to regions.
 #include "src/topology/topology.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace stoat::topology {
 namespace {
 
-TEST(TopologyTest, TellsZoneRegionAndTheWayBetweenRegionsApart) {
+TEST(TopologyTest, DistinguishesSameZoneSameRegionAndOtherRegion) {
   const Topology topology({{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}});
   EXPECT_EQ(topology.distance("north-a", "north-a"), Distance::kSameZone);
   EXPECT_EQ(topology.distance("north-a", "north-b"), Distance::kSameRegion);
@@ -15,14 +15,14 @@
   EXPECT_EQ(topology.zones_of("north"), (std::vector<std::string>{"north-a", "north-b"}));
 }
 
-TEST(TopologyTest, UnknownZonesLieInOneRegion) {
+TEST(TopologyTest, UnknownZonesShareOneRegion) {
   const Topology topology;
   EXPECT_EQ(topology.distance("a", "b"), Distance::kSameRegion);
   EXPECT_EQ(topology.distance("a", "a"), Distance::kSameZone);
   EXPECT_FALSE(topology.has_regions());
 }
 
-TEST(TopologyTest, MalformedAndRepeatedZonesBecomeFindings) {
+TEST(TopologyTest, ReportsMalformedAndDuplicateZones) {
   Findings findings;
   SettingsReader reader =
       SettingsReader::load("", {R"(zones=["north/a", "a", "south/a", "/b", "c/"])"}, findings);
