--- a/src/fleet/backend_limit.h
+++ b/src/fleet/backend_limit.h
@@ -1,4 +1,4 @@
-/// Limits that back ends name for all routers together, and permits under them, as processes tell each other.
+/// Messages about fleet-wide rate limits that backends announce, and about the permits to send under them.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace stoat::fleet {
 
-/// The requests a second that a back end takes from all routers together.
+/// The rate limit that a backend announced for all routers together.
 struct BackendLimit {
   std::string backend;
-  double per_second = 0;  ///< 0: it names no limit any more
+  double per_second = 0;  ///< requests per second; 0: the limit was withdrawn
   MSGPACK_DEFINE_ARRAY(backend, per_second)
   bool operator==(const BackendLimit&) const = default;
 };
 
-/// Limits by id of the back end, as a list.
+/// Converts limits (requests per second by backend id) to a list.
 inline std::vector<BackendLimit> to_list(const std::map<std::string, double>& limits) {
   std::vector<BackendLimit> list;
   list.reserve(limits.size());
@@ -27,30 +27,30 @@
   return list;
 }
 
-/// A router would send this many requests to a back end with a limit.
+/// Asks for permits to send requests to one rate-limited backend.
 struct PermitWish {
   std::string backend;
-  double per_second = 0;  ///< its limit as the router knows it
-  uint32_t count = 0;
+  double per_second = 0;  ///< the backend's limit as the router knows it
+  uint32_t count = 0;     ///< permits wanted
   MSGPACK_DEFINE_ARRAY(backend, per_second, count)
 };
 
-/// Router to the leader.
+/// Router to leader: requests permits.
 struct PermitQuestion {
-  uint64_t number = 0;  ///< echoed by the answer
+  uint64_t number = 0;  ///< echoed in the answer
   std::vector<PermitWish> wishes;
   MSGPACK_DEFINE_ARRAY(number, wishes)
 };
 
-/// What is granted of one wish.
+/// The permits granted for one PermitWish.
 struct PermitTerms {
   std::string backend;
   uint32_t count = 0;   ///< requests that may be sent
-  int64_t wait_ms = 0;  ///< until they may be sent; without any: until it is of use to ask again
+  int64_t wait_ms = 0;  ///< delay before sending; when count is 0: delay before asking again
   MSGPACK_DEFINE_ARRAY(backend, count, wait_ms)
 };
 
-/// Control member to router: the answer to a PermitQuestion. A member that does not lead grants nothing.
+/// Control member to router: the answer to a PermitQuestion. Members other than the leader grant nothing.
 struct PermitAnswer {
   uint64_t number = 0;
   std::vector<PermitTerms> terms;
--- a/src/fleet/backend_record.h
+++ b/src/fleet/backend_record.h
@@ -1,4 +1,4 @@
-/// What the fleet knows of one running back end, built from its own heartbeats.
+/// Records of running backends, built from their heartbeats, and of routers.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace stoat::fleet {
 
-/// Where a back end is in its life.
+/// Life-cycle state of a backend.
 enum class BackendState : uint8_t {
   kReady,
-  kDraining,  ///< gets no new request
-  kGone,      ///< has signed off
+  kDraining,  ///< gets no new requests
+  kGone,      ///< has announced its end
 };
 
-/// A model at a back end, and the version of its weights.
+/// A model that a backend serves, and the version of its weights.
 struct ModelVersion {
   std::string model;
   uint64_t version = 0;
@@ -23,7 +23,7 @@
   bool operator==(const ModelVersion&) const = default;
 };
 
-/// One incarnation of a back end. Of two records with one id the one with the higher sequence is newer.
+/// One incarnation of a backend. Of two records with the same id, the one with the higher sequence is newer.
 struct BackendRecord {
   std::string id;  ///< of the incarnation, see incarnation.h
   std::string service;
@@ -31,14 +31,14 @@
   std::string zone;
   uint32_t slots = 0;
   BackendState state = BackendState::kReady;
-  uint64_t sequence = 0;  ///< rises with every heartbeat
+  uint64_t sequence = 0;  ///< increases with every heartbeat
   std::vector<ModelVersion> models;
   bool lost = false;     ///< its heartbeats have stopped
-  bool loading = false;  ///< new weights are being loaded: send it nothing
-  std::string software;  ///< version of the program that it runs, not of its weights; empty: not told
+  bool loading = false;  ///< new weights are being loaded: gets no requests
+  std::string software;  ///< version of the program, not of the weights; empty: not reported
   MSGPACK_DEFINE_ARRAY(id, service, address, zone, slots, state, sequence, models, lost, loading, software)
   bool operator==(const BackendRecord&) const = default;
-  /// The version of a model's weights, or 0 when it has no such model.
+  /// The version of a model's weights, or 0 when the backend does not serve the model.
   uint64_t version_of(const std::string& model) const {
     for (const ModelVersion& entry : models) {
       if (entry.model == model) {
@@ -49,7 +49,7 @@
   }
 };
 
-/// A router of the fleet, as the directory names it.
+/// A router of the fleet, as listed in the router directory.
 struct RouterRecord {
   std::string name;
   std::string address;  ///< "address:port" for callers
--- a/src/fleet/backend_registry.cc
+++ b/src/fleet/backend_registry.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Reports of routers that can't reach a back end count for so long.
+/// How long a report of a router that cannot reach a backend counts.
 constexpr Duration kUnreachableReportWindow = 2s;
-/// A back end's first heartbeat after its start has this sequence.
+/// Sequence of the first heartbeat after a start.
 constexpr uint64_t kFirstSequence = 1;
-/// So many routers must agree.
+/// Number of routers that must fail to reach a backend before it counts as lost early.
 constexpr int kMinUnreachableReports = 2;
 
 }  // namespace
@@ -37,13 +37,14 @@
   const auto retired = retired_.find(record.id);
   if (retired != retired_.end()) {
     if (known == tracked_.end() && retired->second == BackendState::kGone) {
-      return false;  // a late heartbeat of a back end that has ended
+      return false;  // a delayed heartbeat of a backend that has ended
     }
     updated.state = std::max(updated.state, retired->second);
   }
   if (known != tracked_.end()) {
     updated.loading = known->second.record.loading;
-    // A heartbeat may have been on its way while new weights were loaded; within one start they only go up.
+    // The heartbeat may have been sent before new weights were loaded; within one incarnation versions only
+    // increase.
     for (ModelVersion& entry : updated.models) {
       entry.version = std::max(entry.version, known->second.record.version_of(entry.model));
     }
@@ -120,7 +121,8 @@
   if (address_taken(record.address, record.id)) {
     const std::string holder = id_by_address_.at(record.address);
     if (record.sequence <= kFirstSequence) {
-      retired_[holder] = BackendState::kGone;  // this one has just started
+      retired_[holder] =
+          BackendState::kGone;  // the new backend has just started, so the previous one has ended
     } else {
       superseded_[holder] = Superseded{tracked_.at(holder).record.sequence, record.id, now};
     }
@@ -181,7 +183,7 @@
       drop(id);
       continue;
     }
-    if (!tracked.record.lost && lost(tracked, now)) {
+    if (!tracked.record.lost && is_lost(tracked, now)) {
       tracked.record.lost = true;
       publish(tracked.record);
     }
@@ -196,7 +198,7 @@
   }
 }
 
-bool BackendRegistry::lost(const TrackedBackend& tracked, TimePoint now) const {
+bool BackendRegistry::is_lost(const TrackedBackend& tracked, TimePoint now) const {
   const Duration silence = now - tracked.at;
   if (silence <= options_.overdue_after) {
     return false;
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -1,6 +1,6 @@
-/// The back ends that have registered, as soft state of a control member: heartbeats rebuild it, members pass
-/// heartbeats on to one another, and the replicated retirements go before everything that a heartbeat says.
-/// Those who follow it are told the differences since the revision that they have.
+/// Registry of backends. It is soft state of a control member that heartbeats rebuild; members forward
+/// heartbeats to one another. Replicated retirements take precedence over the state in heartbeats.
+/// Subscribers receive the changes since the revision that they have.
 #pragma once
 
 #include <map>
@@ -16,98 +16,103 @@
 
 /// Settings of a registry.
 struct RegistryOptions {
-  Duration lost_after = 4s;  ///< silence after which a back end counts as lost
-  /// Silence after which it counts as lost when routers can't reach it either: one heartbeat is overdue.
+  Duration lost_after = 4s;  ///< time without a heartbeat after which a backend counts as lost
+  /// The same when several routers cannot reach the backend either: one heartbeat is overdue.
   Duration overdue_after = 1400ms;
-  Duration forget_after = 30s;  ///< silence after which it is forgotten
+  Duration forget_after = 30s;  ///< time without a heartbeat after which the backend is removed
 };
 
-/// What became of a mark that a back end lives.
+/// Result of a mark: a compact heartbeat that carries only the hash of the id and the sequence.
 enum class MarkResult : uint8_t {
   kTaken,
-  kStale,    ///< a later heartbeat is known
-  kUnknown,  ///< no such back end is known: the mark alone does not tell what it is
+  kStale,    ///< a heartbeat with the same or a higher sequence is known, or the incarnation was replaced
+  kUnknown,  ///< the backend is not known, and its full record must be requested
 };
 
-/// The key under which marks name a back end.
+/// The hash by which marks identify a backend.
 uint64_t mark_key(const std::string& id);
 
-/// See the head of this file.
+/// The registered backends and their states, see the top of this file.
 class BackendRegistry {
  public:
   explicit BackendRegistry(const RegistryOptions& options) : options_(options) {}
 
-  /// Takes a heartbeat. Returns true when it is newer than what was known.
+  /// Applies a heartbeat. Returns false when it is stale or contradicts the known record.
   bool on_heartbeat(const BackendRecord& record, TimePoint now);
-  /// Takes a heartbeat that tells nothing new but its sequence.
+  /// Applies a heartbeat in which nothing but the sequence has changed.
   MarkResult on_mark(uint64_t key, uint64_t sequence, TimePoint now);
   /// Applies a replicated retirement.
   void retire(const std::string& id, BackendState state);
-  /// Marks back ends whose new weights are being loaded, or no longer are.
+  /// Sets whether a backend is loading new weights.
   void set_loading(const std::string& id, bool loading);
-  /// Notes the version of a model that a back end was seen to have.
+  /// Records the version of a model that a backend was observed to have. Versions never decrease.
   void set_version(const std::string& id, const std::string& model, uint64_t version);
-  /// A router could not reach a back end. One alone proves nothing: the router itself may be cut off.
+  /// Records that a router could not reach a backend. A single report is not enough to call it lost: the
+  /// router itself may be partitioned.
   void note_unreachable(const std::string& id, const std::string& router, TimePoint now);
-  /// Marks lost back ends and forgets old ones. To be called a few times a second.
+  /// Marks silent backends as lost and removes those silent for longer. Call a few times a second.
   void expire(TimePoint now);
 
-  /// All that is known, by id.
+  /// All known backends, ordered by id.
   std::vector<BackendRecord> records() const;
   const BackendRecord* find(const std::string& id) const;
-  /// True when another service or address is known under the record's id: a back end keeps both for as long
-  /// as it runs.
+  /// True when the record's id is known with another service or address: a backend keeps both for as long as
+  /// it runs.
   bool contradicts(const BackendRecord& record) const;
   const BackendRecord* find_by_key(uint64_t key) const;
-  /// The newest incarnation of a back end, by the name that it gives itself.
+  /// The newest incarnation of a backend, by its self-chosen name.
   const BackendRecord* find_by_name(const std::string& name) const;
-  /// True when another back end than `id` is known at an address.
+  /// True when a backend other than `id` is known at an address.
   bool address_taken(const std::string& address, const std::string& id) const {
     const auto holder = id_by_address_.find(address);
     return holder != id_by_address_.end() && holder->second != id;
   }
-  /// True when a heartbeat of it came no longer ago than `since`.
+  /// True when a heartbeat of the backend arrived at `since` or later.
   bool heard_since(const std::string& id, TimePoint since) const;
-  /// The same with the order of the changes. Sequences are left out: they change with every heartbeat.
+  /// The same records in order of change. Sequences are left out because they change with every heartbeat.
   const RevisionTable<std::string, BackendRecord>& table() const { return table_; }
 
  private:
   struct TrackedBackend {
     BackendRecord record;
     TimePoint at{0};
-    std::map<std::string, TimePoint> unreachable;  ///< by router: when it last could not reach the back end
+    std::map<std::string, TimePoint> unreachable;  ///< by router: when it last failed to reach the backend
   };
-  bool lost(const TrackedBackend& tracked, TimePoint now) const;
-  /// False for a heartbeat of an incarnation before the newest one of its back end, and for one that
-  /// contradicts what is known.
+  bool is_lost(const TrackedBackend& tracked, TimePoint now) const;
+  /// False for a heartbeat of an incarnation older than the newest known one of its backend, and for one that
+  /// contradicts the known record.
   bool is_acceptable(const BackendRecord& record) const;
-  /// Lets the newest incarnation of a back end take the place of the one before.
+  /// Removes the previous incarnation of a backend when a newer one appears.
   void replace_previous_incarnation(const BackendRecord& record);
-  /// A back end that is forgotten may be taken for new again, whenever it started.
+  /// Forgets that an incarnation was the newest of its name, so that a backend that was removed can register
+  /// again whatever its start time.
   void forget_incarnation(const std::string& id);
-  /// Drops a back end from all tables but the memory of those that have ended.
+  /// Removes a backend from all tables except `retired_`.
   void drop(const std::string& id);
-  /// A back end whose address another one has taken, not with the first heartbeat of its life. Which of the
-  /// two lives is known from their next heartbeats: this one may have been on its way for seconds.
+  /// A backend whose address was claimed by another one, with a heartbeat that was not the first of that
+  /// backend. Such a heartbeat may have been delayed for seconds, so only the next heartbeats show which of
+  /// the two is alive.
   struct Superseded {
-    uint64_t sequence = 0;  ///< of its last heartbeat
+    uint64_t sequence = 0;  ///< of the last heartbeat of the superseded backend
     std::string by;
     TimePoint at{0};
   };
-  /// Lets a back end take its address from whoever has it.
+  /// Assigns an address to a newly seen backend and removes the backend that had it.
   void claim_address(const BackendRecord& record, TimePoint now);
-  /// A back end that has lived on for longer than a heartbeat is the only one at its address for good.
+  /// Retires the backends that `id` superseded once it has kept sending heartbeats for longer than one
+  /// interval.
   void confirm_address(const std::string& id, TimePoint now);
   void publish(const BackendRecord& record);
 
   RegistryOptions options_;
   std::map<std::string, TrackedBackend> tracked_;
-  std::unordered_map<uint64_t, std::string> id_by_key_;  ///< of those in `seen_`, by mark_key()
-  /// The same, by address. Without it each of N back ends that register was compared with all others.
+  std::unordered_map<uint64_t, std::string> id_by_key_;  ///< ids in `tracked_`, by mark_key()
+  /// Ids in `tracked_`, by address. Without this index, registering N backends would compare each with all
+  /// others.
   std::unordered_map<std::string, std::string> id_by_address_;
   std::map<std::string, Superseded> superseded_;
   std::map<std::string, std::string, std::less<>>
-      newest_incarnation_;  ///< id of those in `seen_` that tell their start, by name
+      newest_incarnation_;  ///< ids in `tracked_` that report a start time, by backend name
   std::map<std::string, BackendState> retired_;
   RevisionTable<std::string, BackendRecord> table_;
 };
--- a/src/fleet/crash_record.h
+++ b/src/fleet/crash_record.h
@@ -1,5 +1,4 @@
-/// Confirmed and unconfirmed crashes of back ends with the request that was under way, as exchanged between
-/// processes.
+/// Messages about backend crashes, confirmed or not, and the requests that were running at the time.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +8,21 @@
 
 namespace stoat::fleet {
 
-/// A confirmed or unconfirmed crash of one back end.
+/// A confirmed or suspected crash of one backend.
 struct CrashNotice {
-  std::string backend;       ///< id of its incarnation
-  int64_t age_ms = 0;        ///< since the crash, as far as the sender knows
-  bool acquitted = false;    ///< the crash does not count against the request
-  bool unconfirmed = false;  ///< an exchange broke off, but no crash is known. With `acquitted`, the
-                             ///< back end survived; a confirmed crash is acquitted when the request
-                             ///< has ended well since then
+  std::string backend;       ///< id of the incarnation
+  int64_t age_ms = 0;        ///< time since the crash, as far as the sender knows
+  bool acquitted = false;    ///< the crash is not counted against the request
+  bool unconfirmed = false;  ///< the connection broke, but no crash is known. If also `acquitted`, the
+                             ///< backend turned out to be alive. A confirmed crash is acquitted when the
+                             ///< request has succeeded since
   MSGPACK_DEFINE_ARRAY(backend, age_ms, acquitted, unconfirmed)
   bool operator==(const CrashNotice&) const = default;
 };
 
-/// The crashes that a request was under way at.
+/// The crashes that happened while a request was running.
 struct CrashRecord {
-  uint64_t request = 0;  ///< its fingerprint (dispatch::request_fingerprint)
+  uint64_t request = 0;  ///< fingerprint, see dispatch::request_fingerprint
   std::vector<CrashNotice> crashes;
   MSGPACK_DEFINE_ARRAY(request, crashes)
   bool operator==(const CrashRecord&) const = default;
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -1,4 +1,4 @@
-/// What routers and control members send one another about the fleet.
+/// Messages about the fleet between routers and control members.
 #pragma once
 
 #include <map>
@@ -14,103 +14,105 @@
 
 namespace stoat::fleet {
 
-/// How many requests a router has under way at a back end.
+/// Load that a router has placed on a backend.
 struct BackendLoad {
   std::string backend;
-  uint32_t outstanding = 0;
-  uint32_t prefill_tokens = 0;  ///< of requests without a first event yet
+  uint32_t outstanding = 0;     ///< requests in progress
+  uint32_t prefill_tokens = 0;  ///< prompt tokens of requests without a first event yet
   MSGPACK_DEFINE_ARRAY(backend, outstanding, prefill_tokens)
   bool operator==(const BackendLoad&) const = default;
 };
 
-/// Router to each control member, at intervals and at once when something has changed.
+/// Router to each control member, periodically and on each change.
 struct RouterStatus {
   RouterRecord router;
-  uint64_t sequence = 0;               ///< echoed by the answer
-  uint64_t configuration_version = 0;  ///< that it has in force
-  bool follows = false;                ///< it takes the member's feed (FleetNews)
+  uint64_t sequence = 0;               ///< echoed in the answer
+  uint64_t configuration_version = 0;  ///< version of the configuration in use
+  bool follows = false;                ///< the router is subscribed to the member's feed (FleetNews)
   std::vector<AppliedRollout> rollouts = {};
   MSGPACK_DEFINE_ARRAY(router, sequence, configuration_version, follows, rollouts)
 };
 
-/// What a tenant with a quota has spent of it.
+/// What a tenant has used of its quota.
 struct TenantSpending {
   std::string tenant;
-  int64_t amount = 0;  ///< in the quota's unit; below 0: more was given back than spent
+  int64_t amount = 0;  ///< in the quota's unit; below 0: more was refunded than used
   MSGPACK_DEFINE_ARRAY(tenant, amount)
   bool operator==(const TenantSpending&) const = default;
 };
 
-/// What is left of a tenant's quota, over all routers, as far as the sender knows. Below 0: more was spent.
+/// What is left of a tenant's quota across all routers, as far as the sender knows. Below 0: overdrawn.
 struct QuotaLevel {
   std::string tenant;
   int64_t level = 0;
-  bool metered = false;  ///< routers are to keep to the level; else they need not care
+  bool metered = false;  ///< routers must enforce the level; otherwise they may ignore it
   MSGPACK_DEFINE_ARRAY(tenant, level, metered)
   bool operator==(const QuotaLevel&) const = default;
 };
 
-/// What a tenant has spent of its quota in the present window, over all routers, as far as the sender knows.
+/// What a tenant has used of its quota in the current window across all routers, as far as the sender knows.
 struct WindowSpending {
   std::string tenant;
-  std::vector<int64_t> spent;  ///< in equal parts of the window, the newest first
-  int64_t bucket = 0;          ///< what may be spent at once
+  std::vector<int64_t> spent;  ///< usage in equal slices of the window, newest first
+  int64_t bucket = 0;          ///< level of the token bucket: what may be used at once
   MSGPACK_DEFINE_ARRAY(tenant, spent, bucket)
 };
 
-/// Router to the member whose feed it follows: its requests under way. Back ends that aren't named have none.
+/// Router to the member whose feed it is subscribed to: its requests in progress. Backends that are not
+/// listed have none.
 struct RouterLoads {
   std::string router;
   std::vector<BackendLoad> loads;
-  std::vector<std::string> unreachable;       ///< ids of back ends that could not be reached lately
-  std::vector<TenantSpending> spending = {};  ///< since the last message
-  uint64_t spending_number = 0;               ///< rises with each message that has spending; 0: it has none
-  uint64_t start_id = 0;                      ///< of the router, anew at each of its starts
-  bool answers_anew = false;                  ///< all of its counts follow, not only those that changed
-  std::vector<AnswerCount> answers = {};      ///< since its start
-  std::vector<BackendLimit> limits = {};  ///< that were named to it, or have ended, since the last message
-  std::vector<CrashRecord> crashes = {};  ///< that it saw, or where it saw a good end, since the last message
+  std::vector<std::string> unreachable;       ///< ids of backends that recently could not be reached
+  std::vector<TenantSpending> spending = {};  ///< since the previous message
+  uint64_t spending_number = 0;           ///< increases with each message that has spending; 0: no spending
+  uint64_t start_id = 0;                  ///< identifies the router process; new at each start
+  bool answers_anew = false;              ///< `answers` holds all counts, not only those that changed
+  std::vector<AnswerCount> answers = {};  ///< cumulative since the start of the router
+  std::vector<BackendLimit> limits = {};  ///< announced or withdrawn since the previous message
+  std::vector<CrashRecord> crashes =
+      {};  ///< observed, or cleared by a successful end, since the previous message
   MSGPACK_DEFINE_ARRAY(router, loads, unreachable, spending, spending_number, start_id, answers_anew, answers,
                        limits, crashes)
 };
 
-/// A back end, or a store of KV cache, holds a chain of prompt parts.
+/// The KV cache of a chain of prompt parts is present at a backend or KV store.
 struct ChainPlacement {
-  std::string holder;           ///< id of the back end, or address of the store
-  uint64_t weights = 0;         ///< version that made it
+  std::string holder;           ///< id of the backend, or address of the store
+  uint64_t weights = 0;         ///< version of the weights that computed it
   std::vector<uint64_t> links;  ///< hashes of the chain up to each shared part
   MSGPACK_DEFINE_ARRAY(holder, weights, links)
 };
 
-/// Router to the member whose feed it follows: what was read lately.
+/// Router to the member whose feed it is subscribed to: prompt parts that were recently computed.
 struct PlacementNews {
   std::vector<ChainPlacement> placements;
   MSGPACK_DEFINE_ARRAY(placements)
 };
 
-/// What an engine or a store holds of one part of prompts.
+/// The KV cache of one prompt part at an engine or store.
 struct PartHolding {
   uint64_t part = 0;     ///< placement::part_hash
-  uint64_t weights = 0;  ///< version that made it
-  uint32_t tokens = 0;   ///< from its beginning; 0: nothing any more
+  uint64_t weights = 0;  ///< version of the weights that computed it
+  uint32_t tokens = 0;   ///< cached tokens from the beginning of the part; 0: evicted
   MSGPACK_DEFINE_ARRAY(part, weights, tokens)
   bool operator==(const PartHolding&) const = default;
 };
 
-/// What has changed in one cache.
+/// Changes of the contents of one KV cache.
 struct CacheChanges {
-  std::string holder;       ///< id of the back end; address of a store
-  bool store = false;       ///< it is a store
-  bool followed = false;    ///< its changes come to the sender; without, nothing new will be told
-  bool anew = false;        ///< what was told before counts no more
-  uint64_t claim = 0;       ///< between members: the follower with the highest one tells what is in the cache
-  uint64_t epoch = 0;       ///< between members: changes when the cache restarts
-  uint64_t next_event = 0;  ///< between members: where another follower goes on
+  std::string holder;     ///< id of the backend, or address of the store
+  bool store = false;     ///< the holder is a store
+  bool followed = false;  ///< the sender receives the changes of this cache; if false, no updates will follow
+  bool anew = false;      ///< discard what was sent before
+  uint64_t claim = 0;     ///< between members: the subscriber with the highest claim is authoritative
+  uint64_t epoch = 0;     ///< between members: changes when the cache restarts
+  uint64_t next_event = 0;  ///< between members: position at which another subscriber continues
   std::vector<PartHolding> holdings;
   MSGPACK_DEFINE_ARRAY(holder, store, followed, anew, claim, epoch, next_event, holdings)
 };
 
-/// A version of a model's weights that was named, and how long ago as far as the sender knows.
+/// A target version of a model's weights, and the time since it was set as far as the sender knows.
 struct NamedVersion {
   std::string model;
   uint64_t version = 0;
@@ -118,40 +120,39 @@
   MSGPACK_DEFINE_ARRAY(model, version, age_ms)
 };
 
-/// Control member to router: the answer to a status, or unprompted when something has changed. What binds
-/// goes here: configurations, retirements, confirmations. Lists hold what is new on the connection.
+/// Control member to router: the answer to a RouterStatus, or unsolicited on a change. Carries what routers
+/// must obey: configurations, retirements, confirmations. Lists hold only what is new on the connection.
 struct FleetUpdate {
-  uint64_t answers = 0;  ///< sequence of the status that is answered; 0: unprompted
-  bool leads = false;
-  std::string zone;  ///< of the sender
-  /// Since a quorum last confirmed the leader, as far as the sender knows; negative: it can't tell.
+  uint64_t answers = 0;  ///< sequence of the RouterStatus that is answered; 0: unsolicited
+  bool leads = false;    ///< the sender is the leader
+  std::string zone;      ///< of the sender
+  /// Time since a quorum last confirmed the leader, as far as the sender knows; negative: unknown.
   int64_t quorum_age_ms = -1;
-  uint64_t confirmed_version = 0;                 ///< the newest configuration at that confirmation
-  std::vector<FleetConfiguration> configuration;  ///< empty or one
+  uint64_t confirmed_version = 0;                 ///< version of the configuration at that confirmation
+  std::vector<FleetConfiguration> configuration;  ///< at most one
   std::vector<RetiredBackend> retired;
-  std::vector<NamedVersion> weights;  ///< the newest few of each model, oldest first; empty: as before
-  std::vector<std::string> members;   ///< "address:port" of the internal protocol of each; empty: as before
-  uint32_t router_count = 0;          ///< live routers
-  uint64_t spending_taken = 0;        ///< with an answer: the newest RouterLoads::spending_number that came
-  std::vector<ServiceRollout> rollouts =
-      {};  ///< all that were ever ordered, the last of each service; empty: as before
+  std::vector<NamedVersion> weights;  ///< the latest of each model, oldest first; empty: unchanged
+  std::vector<std::string> members;   ///< "address:port" for the internal protocol; empty: unchanged
+  uint32_t router_count = 0;          ///< routers that are alive
+  uint64_t spending_taken = 0;        ///< in an answer: the highest RouterLoads::spending_number received
+  std::vector<ServiceRollout> rollouts = {};  ///< the last rollout of each service; empty: unchanged
   MSGPACK_DEFINE_ARRAY(answers, leads, zone, quorum_age_ms, confirmed_version, configuration, retired,
                        weights, members, router_count, spending_taken, rollouts)
 };
 
-/// Control member to the routers that follow it: what has changed in the fleet since the last of these. A
-/// feed begins with all that is known, in pieces.
+/// Control member to its subscribed routers: changes of the fleet since the previous message. A feed starts
+/// with the full state, split over several messages.
 struct FleetNews {
-  bool anew = false;      ///< the feed begins: what was told before counts no more
-  bool complete = false;  ///< all has been told; a sender that has just started does not know all yet
+  bool anew = false;      ///< the feed starts: discard what was sent before
+  bool complete = false;  ///< the full state was sent; a sender that has just started does not have it yet
   std::vector<BackendRecord> backends;
-  std::vector<std::string> gone;   ///< back ends that are forgotten
-  std::vector<BackendLoad> loads;  ///< of all routers together, of the back ends where it changed
+  std::vector<std::string> gone;   ///< ids of removed backends
+  std::vector<BackendLoad> loads;  ///< totals of all routers, for backends where they changed
   std::vector<CacheChanges> caches;
   std::vector<ChainPlacement> placements;
-  std::vector<QuotaLevel> quotas = {};    ///< where it changed; tenants that were never named are not metered
-  std::vector<BackendLimit> limits = {};  ///< of back ends where it changed
-  std::vector<CrashRecord> crashes = {};  ///< of requests at more than one crash, where it changed
+  std::vector<QuotaLevel> quotas = {};    ///< changed levels; tenants that were never listed are not metered
+  std::vector<BackendLimit> limits = {};  ///< changed limits
+  std::vector<CrashRecord> crashes = {};  ///< changed records of requests with more than one crash
   MSGPACK_DEFINE_ARRAY(anew, complete, backends, gone, loads, caches, placements, quotas, limits, crashes)
   bool empty() const {
     return !anew && backends.empty() && gone.empty() && loads.empty() && caches.empty() &&
@@ -159,35 +160,35 @@
   }
 };
 
-/// A router that a control member hears, or hears no longer.
+/// A router has become reachable, or is no longer, at a control member.
 struct RouterNotice {
   RouterRecord router;
   bool present = true;
   MSGPACK_DEFINE_ARRAY(router, present)
 };
 
-/// A router could not reach a back end.
+/// A router could not reach a backend.
 struct UnreachableNotice {
   std::string router;
   std::string backend;
   MSGPACK_DEFINE_ARRAY(router, backend)
 };
 
-/// A heartbeat that tells nothing new of its back end but that it lives.
+/// A compact heartbeat: the backend is alive and its record is unchanged.
 struct HeartbeatMark {
-  uint64_t backend = 0;  ///< mark_key() of its id
+  uint64_t backend = 0;  ///< mark_key() of the id
   uint64_t sequence = 0;
   MSGPACK_DEFINE_ARRAY(backend, sequence)
 };
 
-/// Asks a member for the records of back ends of which it told marks only.
+/// Asks a member for the full records of backends for which it sent only marks.
 struct RecordQuestion {
-  std::string member;              ///< internal address of the one that is asked
-  std::vector<uint64_t> backends;  ///< mark_key() of their ids
+  std::string member;              ///< internal address of the member that is asked
+  std::vector<uint64_t> backends;  ///< mark_key() of the ids
   MSGPACK_DEFINE_ARRAY(member, backends)
 };
 
-/// What the leader knows of an engine from its own orders.
+/// State of an engine as the leader knows it from its own load orders.
 struct EngineNote {
   std::string id;
   bool loading = false;  ///< new weights are being loaded
@@ -195,36 +196,37 @@
   MSGPACK_DEFINE_ARRAY(id, loading, models)
 };
 
-/// Control member to control member: what has come to the sender since the last of these, so that all members
-/// know the same.
+/// Control member to control member: information received by the sender since the previous message, so that
+/// all members converge on the same soft state.
 struct PeerNews {
-  std::string sender;  ///< its internal address
+  std::string sender;  ///< internal address
   std::string zone;
   uint64_t term = 0;
   bool leads = false;
-  uint64_t number = 0;                  ///< rises by one; a receiver that misses one asks for the whole
-  bool anew = false;                    ///< the whole follows: what the sender told before counts no more
-  std::vector<std::string> incomplete;  ///< addresses of members that are asked for the whole
+  uint64_t number = 0;  ///< increases by one; a receiver that misses a number asks for the full state
+  bool anew = false;    ///< full state: discard what the sender sent before
+  std::vector<std::string> incomplete;  ///< addresses of members that are asked for their full state
   std::vector<BackendRecord> heartbeats;
   std::vector<RouterNotice> routers;
-  std::vector<BackendLoad> loads;  ///< of the sender's routers together, of the back ends where it changed
+  std::vector<BackendLoad> loads;  ///< totals of the sender's routers, for backends where they changed
   std::vector<CacheChanges> caches;
   std::vector<ChainPlacement> placements;
-  std::vector<uint64_t> shared_parts;  ///< that more than one prompt may begin with
+  std::vector<uint64_t> shared_parts;  ///< hashes of prompt parts that several prompts may begin with
   std::vector<UnreachableNotice> unreachable;
-  std::vector<EngineNote> engines;            ///< from the leader
-  std::vector<NamedVersion> weights;          ///< with the whole: since when they have been named
-  uint64_t start_id = 0;                      ///< of the sender, anew at each of its starts
-  std::vector<TenantSpending> spending = {};  ///< of the sender's routers since its start, where it changed
-  std::vector<WindowSpending> windows = {};   ///< with the whole: of all routers, as far as the sender knows
-  int64_t quotas_age_ms = 0;                  ///< with the whole: for how long the sender has counted
+  std::vector<EngineNote> engines;            ///< only from the leader
+  std::vector<NamedVersion> weights;          ///< only with the full state: target versions and their ages
+  uint64_t start_id = 0;                      ///< identifies the sender process; new at each start
+  std::vector<TenantSpending> spending = {};  ///< changed totals of the sender's routers since its start
+  std::vector<WindowSpending> windows =
+      {};                     ///< only with the full state: usage of all routers, as far as known
+  int64_t quotas_age_ms = 0;  ///< only with the full state: how long the sender has been counting
   std::vector<HeartbeatMark> marks = {};
   std::vector<RecordQuestion> questions = {};
-  std::vector<AnswerCount> answers = {};      ///< of the sender's routers since its start, where it changed
-  std::vector<RouterRollouts> applied = {};   ///< what the sender's routers have said since the last news
-  std::vector<RolloutAge> rollout_ages = {};  ///< from the leader: of orders that are not final
-  std::vector<BackendLimit> limits = {};      ///< that the sender's routers told; with the whole: all
-  std::vector<CrashRecord> crashes = {};      ///< likewise
+  std::vector<AnswerCount> answers = {};      ///< changed totals of the sender's routers since its start
+  std::vector<RouterRollouts> applied = {};   ///< reports of the sender's routers since the previous message
+  std::vector<RolloutAge> rollout_ages = {};  ///< only from the leader: rollouts that are not final
+  std::vector<BackendLimit> limits = {};      ///< reported by the sender's routers; with the full state: all
+  std::vector<CrashRecord> crashes = {};      ///< the same for crashes
   MSGPACK_DEFINE_ARRAY(sender, zone, term, leads, number, anew, incomplete, heartbeats, routers, loads,
                        caches, placements, shared_parts, unreachable, engines, weights, start_id, spending,
                        windows, quotas_age_ms, marks, questions, answers, applied, rollout_ages, limits,
@@ -237,7 +239,7 @@
   }
 };
 
-/// Follower to leader: when were you last confirmed by a quorum, and with which configuration?
+/// Follower to leader: asks when a quorum last confirmed the leader, and with which configuration version.
 struct ConfirmationQuestion {
   uint64_t number = 0;
   MSGPACK_DEFINE_ARRAY(number)
@@ -246,15 +248,15 @@
 /// The answer to a ConfirmationQuestion.
 struct ConfirmationAnswer {
   uint64_t number = 0;
-  int64_t quorum_age_ms = -1;  ///< negative: it does not lead, or was not confirmed yet
+  int64_t quorum_age_ms = -1;  ///< negative: not the leader, or not confirmed yet
   uint64_t configuration_version = 0;
   MSGPACK_DEFINE_ARRAY(number, quorum_age_ms, configuration_version)
 };
 
-/// Control member to the leader: the configuration, or a service's last rollout, confirmed to be the newest.
+/// Control member to leader: a linearizable read of the configuration, or of the last rollout of a service.
 struct ConfirmedRead {
   uint64_t call_id = 0;
-  std::string rollout_of = {};  ///< name of a service; empty: the configuration
+  std::string rollout_of = {};  ///< service name; empty: read the configuration
   MSGPACK_DEFINE_ARRAY(call_id, rollout_of)
 };
 
@@ -263,11 +265,11 @@
   uint64_t call_id = 0;
   bool confirmed = false;
   std::string source;                        ///< the operator's document; empty when there is none yet
-  std::vector<ServiceRollout> rollout = {};  ///< that was asked for; empty: none was ever ordered
+  std::vector<ServiceRollout> rollout = {};  ///< the rollout asked for; empty: none was ever ordered
   MSGPACK_DEFINE_ARRAY(call_id, confirmed, source, rollout)
 };
 
-/// Control member to one that asks to join: whom else to ask.
+/// Control member to a joining one: other members to ask.
 struct MemberAddresses {
   std::vector<std::string> addresses;
   MSGPACK_DEFINE_ARRAY(addresses)
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -1,5 +1,5 @@
-/// The replicated part of the fleet's state: what was acknowledged to operators and back ends and must never
-/// be forgotten. Applied in log order; deterministic.
+/// The replicated state of the fleet: everything that was acknowledged to operators and backends and must not
+/// be lost. Commands are applied in log order, and the result is deterministic.
 #pragma once
 
 #include <map>
@@ -12,49 +12,51 @@
 
 namespace stoat::fleet {
 
-/// Puts a whole configuration in force when its version is above the one held.
+/// Command: replaces the configuration if the version is higher than the current one.
 struct PutConfiguration {
   FleetConfiguration configuration;
-  std::string source;  ///< the operator's document, given back as it came
+  std::string source;  ///< the operator's document, returned unchanged on reads
   MSGPACK_DEFINE_ARRAY(configuration, source)
 };
 
-/// Names the version of a model's weights that all engines are to have. A lower one changes nothing.
+/// Command: sets the version of a model's weights that all engines should have. A lower version has no
+/// effect.
 struct NameWeights {
   std::string model;
   uint64_t version = 0;
   MSGPACK_DEFINE_ARRAY(model, version)
 };
 
-/// Records that a back end is draining or gone. It never becomes ready again under the same id.
+/// Command: records that a backend is draining or gone. It never becomes ready again under the same id.
 struct RetireBackend {
   std::string id;
   BackendState state = BackendState::kDraining;
   MSGPACK_DEFINE_ARRAY(id, state)
 };
 
-/// One retired back end. Kept for kMaxRetired retirements after it.
+/// One retired backend. Kept until kMaxRetired later ones have been retired.
 struct RetiredBackend {
   std::string id;
   BackendState state = BackendState::kDraining;
   MSGPACK_DEFINE_ARRAY(id, state)
 };
 
-/// How many retired back ends are remembered; the oldest goes first. A late heartbeat comes within seconds.
+/// Number of retired backends that are remembered; the oldest is dropped first. Delayed heartbeats, which
+/// this guards against, arrive within seconds.
 inline constexpr size_t kMaxRetired = 4096;
 
-/// An order that comes so long after the same one was taken is a new one; before, the same again, whose
-/// acknowledgement was lost. Operators repeat orders for some seconds only.
+/// An identical order within this time after the first counts as a retry whose acknowledgement was lost;
+/// after it, as a new order. Operators retry for a few seconds only.
 inline constexpr int64_t kRepeatedOrderWindowMs = 10000;
 
-/// How the state took an order of a rollout.
+/// Result of a rollout order.
 enum class RolloutVerdict : uint8_t {
-  kTaken,           ///< it runs, runs already, or is done
-  kUnknownService,  ///< no service of the configuration
-  kUnderWay,        ///< the service is being moved to another version
+  kTaken,           ///< accepted, already running, or already done
+  kUnknownService,  ///< not a service with backends in the configuration
+  kUnderWay,        ///< a rollout of the service to another version is in progress
 };
 
-/// See the head of this file.
+/// The replicated state machine of the fleet.
 class FleetState {
  public:
   void apply(const PutConfiguration& command);
@@ -65,15 +67,15 @@
 
   const FleetConfiguration& configuration() const { return configuration_; }
   const std::string& source() const { return source_; }
-  /// The named version of each model's weights.
+  /// The version that each model's weights should have, by model.
   const std::map<std::string, uint64_t>& weights() const { return weights_; }
-  /// Retired back ends, oldest first.
+  /// Retired backends, oldest first.
   const std::vector<RetiredBackend>& retired() const { return retired_; }
-  /// The state of a retired back end; kReady when it is not retired.
+  /// The state of a retired backend; kReady when it is not retired.
   BackendState retired_state(const std::string& id) const;
-  /// The last rollout of each service.
+  /// The last rollout of each service, by service name.
   const std::map<std::string, ServiceRollout>& rollouts() const { return rollouts_; }
-  /// Counts what was applied with an effect; lets followers see that something is new.
+  /// Number of commands that changed the state; subscribers use it to detect changes.
   uint64_t revision() const { return revision_; }
   MSGPACK_DEFINE_ARRAY(configuration_, source_, weights_, retired_, revision_, rollouts_)
 
--- a/src/fleet/incarnation.cc
+++ b/src/fleet/incarnation.cc
@@ -11,7 +11,8 @@
 }  // namespace
 
 std::string incarnation_id(std::string_view name, uint64_t started_ms) {
-  // A name that has the separator itself gets the suffix always, so that the last one is never the name's.
+  // A name that contains the separator always gets a suffix, so that the last separator is never the name's
+  // own.
   if (started_ms == 0 && name.find(kSeparator) == std::string_view::npos) {
     return std::string(name);
   }
--- a/src/fleet/incarnation.h
+++ b/src/fleet/incarnation.h
@@ -1,9 +1,8 @@
-/// Identifies one incarnation of a back end: the name that it gives itself, and when it started.
+/// Ids of backend incarnations: the self-chosen name of a backend and its start time.
 ///
-/// A back end may start again under the name that it had. Its incarnation holds nothing of what the one
-/// before held, so everything that is known of a back end is kept under the id of the incarnation:
-/// "name@start". A back end that does not tell when it started has a name of its own for each start, and that
-/// is its id.
+/// A backend may restart under the same name, without the requests and caches of its previous incarnation.
+/// All information about backends is therefore keyed by incarnation: "name@start". A backend that does not
+/// report its start time must use a new name for each start, and that name is its id.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +11,13 @@
 
 namespace stoat::fleet {
 
-/// The id of an incarnation. `started_ms`: Unix time of its start; 0: not told.
+/// The id of an incarnation. `started_ms`: Unix time of its start in milliseconds; 0: not reported.
 std::string incarnation_id(std::string_view name, uint64_t started_ms);
 
-/// The name that the back end gives itself.
+/// The self-chosen name of the backend, without the start time.
 std::string_view backend_name(std::string_view id);
 
-/// When the incarnation started, in Unix milliseconds; 0: not told.
+/// Start time of the incarnation as Unix time in milliseconds; 0: not reported.
 uint64_t started_ms(std::string_view id);
 
 }  // namespace stoat::fleet
--- a/src/fleet/revision_table.h
+++ b/src/fleet/revision_table.h
@@ -1,5 +1,5 @@
-/// A table that knows in which order its entries changed, so that a receiver can be told the differences
-/// since a revision instead of the whole.
+/// Key-value table that tracks the order of its changes, so that a receiver can be sent the changes since a
+/// revision instead of the full table.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace stoat::fleet {
 
-/// See the head of this file. Revision 0 is that of a receiver that knows nothing. Erased keys are remembered
-/// for a while; a receiver that is further behind needs the whole.
+/// A table with a revision that increases with each change. Revision 0 is that of a receiver without data.
+/// Only the most recently erased keys are remembered; a receiver that is further behind needs the full table.
 template <typename Key, typename Value>
 class RevisionTable {
  public:
-  /// `erased_limit`: how many erased keys are remembered.
+  /// `erased_limit`: number of erased keys that are remembered.
   explicit RevisionTable(size_t erased_limit = kDefaultErasedLimit) : erased_limit_(erased_limit) {}
 
-  /// Sets a value. Returns true when it differs from the one held.
+  /// Sets a value. Returns true when it differs from the current one.
   bool set(const Key& key, const Value& value) {
     Entry& entry = entries_[key];
     if (entry.value && *entry.value == value) {
@@ -53,12 +53,12 @@
 
   size_t size() const { return size_; }
   uint64_t revision() const { return revision_; }
-  /// True when a receiver at this revision can be brought up to date by differences.
+  /// True when a receiver at this revision can be updated with changes only.
   bool reaches(uint64_t revision) const { return revision == 0 || revision >= newest_evicted_revision_; }
 
   /// Calls `visit(key, value)` for at most `limit` entries that changed after `revision`, in the order of
-  /// their last change; `value` is nullptr for an erased one. Returns the revision that the receiver has
-  /// then.
+  /// their last change; `value` is nullptr for an erased key. Returns the revision that the receiver is at
+  /// afterwards.
   template <typename Visitor>
   uint64_t visit_since(uint64_t revision, size_t limit, const Visitor& visit) const {
     size_t visited = 0;
@@ -74,7 +74,7 @@
     return revision_;
   }
 
-  /// Calls `visit(key, value)` for each entry, by key.
+  /// Calls `visit(key, value)` for each entry, ordered by key.
   template <typename Visitor>
   void visit_all(const Visitor& visit) const {
     for (const auto& [key, entry] : entries_) {
@@ -114,9 +114,9 @@
   size_t erased_limit_;
   std::map<Key, Entry> entries_;
   std::map<uint64_t, Key> key_by_revision_;  ///< by revision of the last change
-  std::set<uint64_t> erased_revisions_;      ///< revisions of erased keys
+  std::set<uint64_t> erased_revisions_;      ///< revisions at which remembered keys were erased
   uint64_t revision_ = 0;
-  uint64_t newest_evicted_revision_ = 0;  ///< the newest forgotten erasure
+  uint64_t newest_evicted_revision_ = 0;  ///< the newest erasure that is no longer remembered
   size_t size_ = 0;
 };
 
--- a/src/fleet/service_rollout.h
+++ b/src/fleet/service_rollout.h
@@ -1,6 +1,5 @@
-/// The move of a service's traffic onto another version of its program: an operator's order, and how far it
-/// has come. Weights of models have versions of their own; see control::WeightRollout. Plain data with a
-/// MessagePack form.
+/// Rollout of a new program version of a service: the operator's order and its progress. Model weights are
+/// versioned separately, see control::WeightRollout. Plain data with MessagePack encoding.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +10,48 @@
 
 namespace stoat::fleet {
 
-/// How far a move has come. The last two are final.
+/// Phase of a rollout. The last two are final.
 enum class RolloutPhase : uint8_t {
-  kWaiting,     ///< no back end of the target version is there yet
-  kTrial,       ///< a share of the traffic goes to the target version, and is judged
-  kSwitching,   ///< all goes there; what runs at other versions is to end
-  kReturning,   ///< nothing goes there any more; not all routers have confirmed it yet
+  kWaiting,     ///< no backend of the target version is available yet
+  kTrial,       ///< a share of the traffic goes to the target version, whose answers are evaluated
+  kSwitching,   ///< all traffic goes to the target version; requests at other versions finish
+  kReturning,   ///< rolling back: no new traffic to the target version, not confirmed by all routers yet
   kCompleted,   ///< the target version is the active one
-  kRolledBack,  ///< the target version gets nothing
+  kRolledBack,  ///< the target version gets no traffic
 };
 
-/// One order, and its newest step. The replicated log orders the steps.
+/// One rollout order and its latest step. Steps are ordered by the replicated log.
 struct ServiceRollout {
   std::string service;
-  uint64_t id = 0;    ///< differs between all orders of a fleet; a later order has a higher one
-  uint64_t step = 0;  ///< rises with each change of what follows
+  uint64_t id = 0;    ///< unique in the fleet; later orders have higher ids
+  uint64_t step = 0;  ///< increases with each change of the fields below
   std::string target_version;
-  std::vector<std::string> active_versions;  ///< that served when the order came; empty: none was known
-  int64_t duration_ms = 0;                   ///< from the order to its deadline
-  int64_t accepted_at_ms = 0;                ///< wall clock of the leader that took the order
+  std::vector<std::string>
+      active_versions;         ///< versions that served when the order was accepted; empty: none was known
+  int64_t duration_ms = 0;     ///< time from the order to its deadline
+  int64_t accepted_at_ms = 0;  ///< Unix time by the clock of the leader that accepted the order
   RolloutPhase phase = RolloutPhase::kWaiting;
-  double share = 0;  ///< of the service's requests that go to the target version
-  bool spread =
-      false;  ///< all of its back ends get of the share; else few, each as many as it would in the end
-  std::string reason;  ///< of the newest step
+  double share = 0;     ///< fraction of the service's requests that go to the target version
+  bool spread = false;  ///< true: the share goes to all backends of the target version; false: to few of
+                        ///< them, so that each bears the load that it would have after the switch
+  std::string reason;   ///< of the latest step
   MSGPACK_DEFINE_ARRAY(service, id, step, target_version, active_versions, duration_ms, accepted_at_ms, phase,
                        share, spread, reason)
   bool operator==(const ServiceRollout&) const = default;
   bool final() const { return phase == RolloutPhase::kCompleted || phase == RolloutPhase::kRolledBack; }
 };
 
-/// Command: moves a service's traffic onto a version.
+/// Command: starts the rollout of a version.
 struct StartServiceRollout {
   std::string service;
   std::string target_version;
   int64_t duration_ms = 0;
-  int64_t accepted_at_ms = 0;                ///< wall clock of the leader; set by it
+  int64_t accepted_at_ms = 0;                ///< Unix time by the clock of the leader; set by the leader
   std::vector<std::string> active_versions;  ///< set by the leader
   MSGPACK_DEFINE_ARRAY(service, target_version, duration_ms, accepted_at_ms, active_versions)
 };
 
-/// Command: takes the next step of an order. Without effect when another step was taken meanwhile.
+/// Command: advances a rollout by one step. No effect unless `from_step` is still the latest step.
 struct StepServiceRollout {
   std::string service;
   uint64_t id = 0;
@@ -63,37 +63,37 @@
   MSGPACK_DEFINE_ARRAY(service, id, from_step, phase, share, spread, reason)
 };
 
-/// What a router does about an order.
+/// The state of one rollout at a router.
 struct AppliedRollout {
   uint64_t id = 0;
-  uint64_t step = 0;            ///< the newest that it keeps to
-  uint32_t others_running = 0;  ///< its requests under way at back ends of other versions than the target
-  uint32_t target_running = 0;  ///< those at the target version's
+  uint64_t step = 0;            ///< the latest step that the router has applied
+  uint32_t others_running = 0;  ///< requests in progress at backends of other versions
+  uint32_t target_running = 0;  ///< requests in progress at backends of the target version
   MSGPACK_DEFINE_ARRAY(id, step, others_running, target_running)
   bool operator==(const AppliedRollout&) const = default;
 };
 
-/// A router's word on all orders, handed on by the member that it follows.
+/// The state of all rollouts at a router, forwarded by the control member that the router is connected to.
 struct RouterRollouts {
   std::string router;
   std::vector<AppliedRollout> applied;
   MSGPACK_DEFINE_ARRAY(router, applied)
 };
 
-/// How long ago an order was taken, by the leader's steady clock.
+/// Time since an order was accepted, by the leader's steady clock.
 struct RolloutAge {
   uint64_t id = 0;
   int64_t age_ms = 0;
   MSGPACK_DEFINE_ARRAY(id, age_ms)
 };
 
-/// Which answers a count is of. Answers of one key can be compared between versions but for `engine`.
+/// The group that answers are counted in. Groups that differ only in `target` and `engine` are comparable.
 struct AnswerKey {
-  uint64_t rollout = 0;  ///< id of the order that they were counted under
-  bool target = false;   ///< made by the target version
-  std::string engine;    ///< id of the back end; empty for other versions than the target
+  uint64_t rollout = 0;  ///< id of the order during which they were counted
+  bool target = false;   ///< answered by the target version
+  std::string engine;    ///< id of the backend; empty for versions other than the target
   std::string route;
-  uint8_t condition = 0;  ///< what the back end had to read and bear; see rollout::condition_of
+  uint8_t condition = 0;  ///< class of prefill work and load, see rollout::condition_of
   MSGPACK_DEFINE_ARRAY(rollout, target, engine, route, condition)
   bool operator==(const AnswerKey&) const = default;
   bool operator<(const AnswerKey& other) const {
@@ -102,17 +102,17 @@
   }
 };
 
-/// Counts of answers. They only grow, so that a later message makes up for a lost one.
+/// Counts of answers. They only increase, so that a later message makes up for a lost one.
 struct AnswerSums {
   uint64_t sent = 0;
-  uint64_t failed = 0;          ///< answers that were errors of the back end, or malformed
-  uint64_t broken = 0;          ///< connections that broke or fell silent before the answer was whole
-  std::vector<uint64_t> times;  ///< answers by the time to their first event; see rollout::time_bucket
+  uint64_t failed = 0;          ///< error answers of the backend, and malformed ones
+  uint64_t broken = 0;          ///< connections that broke or stalled before the answer was complete
+  std::vector<uint64_t> times;  ///< histogram of the time to the first event, see rollout::time_bucket
   MSGPACK_DEFINE_ARRAY(sent, failed, broken, times)
   bool operator==(const AnswerSums&) const = default;
 };
 
-/// Counts of the answers of one key.
+/// The counts of one group.
 struct AnswerCount {
   AnswerKey key;
   AnswerSums sums;
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Versions that follow one another within the time of a load or two; more are never of interest at once.
+/// Versions set within the time that one or two loads of weights take; more are never relevant at once.
 constexpr size_t kMaxVersions = 16;
 
 }  // namespace
--- a/src/fleet/version_history.h
+++ b/src/fleet/version_history.h
@@ -1,4 +1,5 @@
-/// The versions of one model's weights that were named, each with the time since when engines should have it.
+/// History of the target versions of one model's weights, each with the time from which engines should have
+/// it.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +11,24 @@
 
 namespace stoat::fleet {
 
-/// See the head of this file. Keeps the newest few.
+/// The target versions of one model. Only the newest are kept.
 class VersionHistory {
  public:
-  /// Notes a named version. Of several times for one version the earliest counts.
+  /// Records a target version. If a version is recorded several times, the earliest time is kept.
   void note(uint64_t version, TimePoint since);
-  /// When the first version above this one was named; nullopt when none is.
+  /// When the next higher known version was set; nullopt when there is none.
   std::optional<TimePoint> outdated_since(uint64_t version) const;
-  /// How long a version has been out of date; nullopt when no higher one is named.
+  /// How long a version has been outdated; nullopt when there is no higher one.
   std::optional<Duration> outdated_for(uint64_t version, TimePoint now) const;
   uint64_t newest() const { return since_.empty() ? 0 : since_.rbegin()->first; }
-  /// The versions, oldest first, each with its time.
+  /// The versions, lowest first, each with the time from which engines should have it.
   const std::map<uint64_t, TimePoint>& versions() const { return since_; }
 
  private:
-  std::map<uint64_t, TimePoint> since_;  ///< by version
+  std::map<uint64_t, TimePoint> since_;  ///< time by version
 };
 
-/// By model.
+/// Version histories by model.
 using NamedWeights = std::map<std::string, VersionHistory>;
 
 }  // namespace stoat::fleet
--- a/tests/unit/incarnation_test.cc
+++ b/tests/unit/incarnation_test.cc
@@ -1,4 +1,4 @@
-/// Back ends that start again under the name that they had, and heartbeats of other writers.
+/// Backends that restart under the same name, and heartbeats that are malformed or sent under a foreign id.
 #include "src/fleet/incarnation.h"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 constexpr uint64_t kFirstStart = 1767225600000;
 constexpr uint64_t kSecondStart = kFirstStart + 5000;
 
-fleet::BackendRecord engine(uint64_t started_ms, uint64_t sequence,
-                            const std::string& address = "10.0.0.1:80") {
+fleet::BackendRecord make_heartbeat(uint64_t started_ms, uint64_t sequence,
+                                    const std::string& address = "10.0.0.1:80") {
   fleet::BackendRecord record;
   record.id = fleet::incarnation_id("e1", started_ms);
   record.service = "models";
@@ -26,7 +26,7 @@
   return record;
 }
 
-TEST(Incarnation, TellsNameAndStartOfItsId) {
+TEST(Incarnation, ParsesNameAndStartTime) {
   const std::string id = fleet::incarnation_id("e1", kFirstStart);
   EXPECT_EQ(fleet::backend_name(id), "e1");
   EXPECT_EQ(fleet::started_ms(id), kFirstStart);
@@ -34,15 +34,15 @@
   EXPECT_EQ(fleet::started_ms("e1"), 0U);
 }
 
-TEST(Incarnation, KeepsANameThatLooksLikeAnId) {
+TEST(Incarnation, NameWithSeparatorIsPreserved) {
   const std::string id = fleet::incarnation_id("e1@7", 0);
   EXPECT_EQ(fleet::backend_name(id), "e1@7");
   EXPECT_EQ(fleet::started_ms(id), 0U);
 }
 
-class RestartedBackEndTest : public testing::Test {
+class RestartedBackendTest : public testing::Test {
  protected:
-  std::string serving() const {
+  std::string registered_ids() const {
     std::string ids;
     for (const fleet::BackendRecord& record : registry_.records()) {
       ids += record.id + (record.state == BackendState::kReady ? "" : " retired");
@@ -54,81 +54,83 @@
   fleet::BackendRegistry registry_{fleet::RegistryOptions{}};
 };
 
-TEST_F(RestartedBackEndTest, TakesThePlaceOfItsFormerIncarnationAtOnce) {
-  registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
-  EXPECT_TRUE(registry_.on_heartbeat(engine(kSecondStart, 1), 2s));
-  EXPECT_EQ(serving(), second_);
+TEST_F(RestartedBackendTest, ReplacesThePreviousIncarnationAtOnce) {
+  registry_.on_heartbeat(make_heartbeat(kFirstStart, 40), 1s);
+  EXPECT_TRUE(registry_.on_heartbeat(make_heartbeat(kSecondStart, 1), 2s));
+  EXPECT_EQ(registered_ids(), second_);
 }
 
-TEST_F(RestartedBackEndTest, TakesItsPlaceAtAnotherAddressToo) {
-  registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
-  registry_.on_heartbeat(engine(kSecondStart, 3, "10.0.0.2:80"), 2s);
-  EXPECT_EQ(serving(), second_);
+TEST_F(RestartedBackendTest, ReplacesThePreviousIncarnationAtAnotherAddress) {
+  registry_.on_heartbeat(make_heartbeat(kFirstStart, 40), 1s);
+  registry_.on_heartbeat(make_heartbeat(kSecondStart, 3, "10.0.0.2:80"), 2s);
+  EXPECT_EQ(registered_ids(), second_);
   EXPECT_FALSE(registry_.address_taken("10.0.0.1:80", "other"));
 }
 
-TEST_F(RestartedBackEndTest, ALateHeartbeatOfTheFormerIncarnationChangesNothing) {
-  registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
-  registry_.on_heartbeat(engine(kSecondStart, 1), 2s);
-  EXPECT_FALSE(registry_.on_heartbeat(engine(kFirstStart, 41), 3s));
+TEST_F(RestartedBackendTest, LateHeartbeatOfThePreviousIncarnationIsIgnored) {
+  registry_.on_heartbeat(make_heartbeat(kFirstStart, 40), 1s);
+  registry_.on_heartbeat(make_heartbeat(kSecondStart, 1), 2s);
+  EXPECT_FALSE(registry_.on_heartbeat(make_heartbeat(kFirstStart, 41), 3s));
   EXPECT_EQ(registry_.on_mark(fleet::mark_key(first_), 42, 3s), fleet::MarkResult::kUnknown);
-  EXPECT_TRUE(registry_.on_heartbeat(engine(kSecondStart, 2), 4s));
-  EXPECT_EQ(serving(), second_);
+  EXPECT_TRUE(registry_.on_heartbeat(make_heartbeat(kSecondStart, 2), 4s));
+  EXPECT_EQ(registered_ids(), second_);
 }
 
-TEST_F(RestartedBackEndTest, IsNotBoundByTheRetirementOfItsFormerIncarnation) {
-  registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
+TEST_F(RestartedBackendTest, RetirementOfThePreviousIncarnationDoesNotApply) {
+  registry_.on_heartbeat(make_heartbeat(kFirstStart, 40), 1s);
   registry_.retire(first_, BackendState::kDraining);
-  registry_.on_heartbeat(engine(kSecondStart, 1), 2s);
-  EXPECT_EQ(serving(), second_);
+  registry_.on_heartbeat(make_heartbeat(kSecondStart, 1), 2s);
+  EXPECT_EQ(registered_ids(), second_);
 }
 
-TEST_F(RestartedBackEndTest, HasOlderWeightsAgain) {
-  registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
+TEST_F(RestartedBackendTest, MayHaveOlderWeightsThanThePreviousIncarnation) {
+  registry_.on_heartbeat(make_heartbeat(kFirstStart, 40), 1s);
   registry_.set_version(first_, "m", 7);
-  registry_.on_heartbeat(engine(kSecondStart, 1), 2s);
+  registry_.on_heartbeat(make_heartbeat(kSecondStart, 1), 2s);
   EXPECT_EQ(registry_.find(second_)->version_of("m"), 1U);
   EXPECT_EQ(registry_.find_by_name("e1")->id, second_);
 }
 
-TEST(OtherWriters, AHeartbeatUnderAnothersIdChangesNothing) {
+TEST(ForeignWriters, HeartbeatUnderAForeignIdIsIgnored) {
   fleet::BackendRegistry registry{fleet::RegistryOptions{}};
-  registry.on_heartbeat(engine(0, 4), 1s);
-  fleet::BackendRecord foreign = engine(0, 900);
+  registry.on_heartbeat(make_heartbeat(0, 4), 1s);
+  fleet::BackendRecord foreign = make_heartbeat(0, 900);
   foreign.service = "other";
   EXPECT_FALSE(registry.on_heartbeat(foreign, 2s));
-  EXPECT_TRUE(registry.on_heartbeat(engine(0, 5), 3s));
+  EXPECT_TRUE(registry.on_heartbeat(make_heartbeat(0, 5), 3s));
   EXPECT_EQ(registry.find("e1")->service, "models");
 }
 
-struct ForeignHeartbeat {
-  const char* what;
+struct MalformedHeartbeat {
+  const char* description;
   const char* body;
 };
 
-class ForeignHeartbeatTest : public testing::TestWithParam<ForeignHeartbeat> {};
+class MalformedHeartbeatTest : public testing::TestWithParam<MalformedHeartbeat> {};
 
-TEST_P(ForeignHeartbeatTest, NamesNoBackEnd) {
-  EXPECT_FALSE(control::read_heartbeat("e1", GetParam().body, platform::body_names())) << GetParam().what;
+TEST_P(MalformedHeartbeatTest, IsRejected) {
+  EXPECT_FALSE(control::read_heartbeat("e1", GetParam().body, platform::body_names()))
+      << GetParam().description;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Bodies, ForeignHeartbeatTest,
+    Bodies, MalformedHeartbeatTest,
     testing::Values(
-        ForeignHeartbeat{"no state", R"({"service":"s","address":"a:1","sequence":1})"},
-        ForeignHeartbeat{"unknown state",
-                         R"({"service":"s","address":"a:1","sequence":1,"state":"sleeping"})"},
-        ForeignHeartbeat{"state of another type",
-                         R"({"service":"s","address":"a:1","sequence":1,"state":7})"},
-        ForeignHeartbeat{"start as a text",
-                         R"({"service":"s","address":"a:1","sequence":1,"state":"ready","born":"x"})"},
-        ForeignHeartbeat{"start as a fraction",
-                         R"({"service":"s","address":"a:1","sequence":1,"state":"ready","born":1.5})"},
-        ForeignHeartbeat{"sequence beyond all numbers",
-                         R"({"service":"s","address":"a:1","sequence":1e300,"state":"ready"})"},
-        ForeignHeartbeat{"models of another type",
-                         R"({"service":"s","address":"a:1","sequence":1,"state":"ready","models":{"a":1}})"},
-        ForeignHeartbeat{"bytes that are no text", "\xff\xfe{\"service\":"}));
+        MalformedHeartbeat{"no state", R"({"service":"s","address":"a:1","sequence":1})"},
+        MalformedHeartbeat{"unknown state",
+                           R"({"service":"s","address":"a:1","sequence":1,"state":"sleeping"})"},
+        MalformedHeartbeat{"state of another type",
+                           R"({"service":"s","address":"a:1","sequence":1,"state":7})"},
+        MalformedHeartbeat{"start as a text",
+                           R"({"service":"s","address":"a:1","sequence":1,"state":"ready","born":"x"})"},
+        MalformedHeartbeat{"start as a fraction",
+                           R"({"service":"s","address":"a:1","sequence":1,"state":"ready","born":1.5})"},
+        MalformedHeartbeat{"sequence beyond all numbers",
+                           R"({"service":"s","address":"a:1","sequence":1e300,"state":"ready"})"},
+        MalformedHeartbeat{
+            "models of another type",
+            R"({"service":"s","address":"a:1","sequence":1,"state":"ready","models":{"a":1}})"},
+        MalformedHeartbeat{"bytes that are no text", "\xff\xfe{\"service\":"}));
 
 }  // namespace
 }  // namespace stoat
--- a/tests/unit/revision_table_test.cc
+++ b/tests/unit/revision_table_test.cc
@@ -1,4 +1,4 @@
-/// Tables that tell the differences since a revision.
+/// Tables that send receivers the changes since a revision.
 #include "src/fleet/revision_table.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using Table = fleet::RevisionTable<std::string, int>;
 
-/// A receiver that applies differences, at most `limit` at a time.
+/// A receiver that applies changes, at most `limit` at a time.
 struct Receiver {
   uint64_t revision = 0;
   std::map<std::string, int> values;
@@ -27,7 +27,7 @@
   }
 };
 
-TEST(RevisionTable, ASettingThatChangesNothingIsNoChange) {
+TEST(RevisionTable, SettingAnEqualValueIsNoChange) {
   Table table;
   EXPECT_TRUE(table.set("a", 1));
   EXPECT_FALSE(table.set("a", 1));
@@ -35,7 +35,7 @@
   EXPECT_EQ(table.revision(), 1U);
 }
 
-TEST(RevisionTable, AnEntryThatChangedOftenIsToldOnce) {
+TEST(RevisionTable, RepeatedlyChangedEntryIsVisitedOnce) {
   Table table;
   for (int value = 0; value < 100; ++value) {
     table.set("a", value);
@@ -46,7 +46,7 @@
   EXPECT_EQ(visited, 2);
 }
 
-TEST(RevisionTable, AReceiverTooFarBehindNeedsTheWhole) {
+TEST(RevisionTable, ReceiverTooFarBehindNeedsTheFullTable) {
   Table table(2);
   table.set("kept", 1);
   const uint64_t revision = table.revision();
@@ -62,7 +62,7 @@
   EXPECT_EQ(receiver.values, (std::map<std::string, int>{{"kept", 1}}));
 }
 
-RC_GTEST_PROP(RevisionTable, DifferencesInAnyPiecesMakeTheWhole, ()) {
+RC_GTEST_PROP(RevisionTable, ChangesInAnyBatchesYieldTheFullTable, ()) {
   Table table;
   std::map<std::string, int> model;
   Receiver receiver;
