--- a/src/rollout/answer_book.cc
+++ b/src/rollout/answer_book.cc
@@ -35,7 +35,7 @@
   const auto known = routers_.find(loads.router);
   const bool first = known == routers_.end() || known->second.start_id != loads.start_id;
   if (first && !loads.answers_anew) {
-    return;  // it will tell all of them when its feed begins
+    return;  // the router reports all counts when its feed starts
   }
   ReporterState& router = routers_[loads.router];
   if (first) {
--- a/src/rollout/answer_book.h
+++ b/src/rollout/answer_book.h
@@ -1,8 +1,9 @@
-/// The counts of answers of all routers, as a control member hears of them: from the routers that follow it,
-/// and from the other members, each of which tells the sums of its own. Free of I/O.
+/// Aggregates the answer counts of all routers at a control member: those of the routers connected to it, and
+/// the totals that every other member reports for its own routers. Performs no I/O.
 ///
-/// All sums only grow, so that a later message makes up for a lost one. A router that comes from another
-/// member brings counts that are known already: its first sums here are where counting begins.
+/// All counts only increase, so that a later message makes up for a lost one. A router that reconnects from
+/// another member has counts that are already included: its first report here is the baseline, and only
+/// increases are added.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +18,20 @@
 
 using AnswerTable = std::map<fleet::AnswerKey, fleet::AnswerSums>;
 
-/// See the head of this file.
+/// The answer counts of all routers, see the top of this file.
 class AnswerBook {
  public:
   void on_router(const fleet::RouterLoads& loads);
-  /// `start_id`: of the member; its sums begin anew when it differs.
+  /// `start_id`: identifies the member's process; its counts restart at 0 when it changes.
   void on_member(const std::string& member, uint64_t start_id,
                  const std::vector<fleet::AnswerCount>& answers);
-  /// Sums of the own routers that changed since the last call.
+  /// Counts of the routers connected to this member that changed since the last call.
   std::vector<fleet::AnswerCount> take_changes();
-  /// All of them.
+  /// All counts of the routers connected to this member.
   std::vector<fleet::AnswerCount> own() const;
-  /// Over all routers, as far as they are known.
+  /// Totals of all routers, as far as known.
   const AnswerTable& totals() const { return totals_; }
-  /// Drops the counts of orders that are not under way any more.
+  /// Removes the counts of rollouts whose ids are not listed.
   void keep(const std::set<uint64_t>& rollouts);
 
  private:
@@ -46,7 +47,7 @@
   std::set<fleet::AnswerKey> changed_;
 };
 
-/// Adds what `now` has more than `before`, per count.
+/// Adds the increase from `before` to `now` to each count.
 void add_growth(const fleet::AnswerSums& now, const fleet::AnswerSums& before, fleet::AnswerSums& sums);
 
 }  // namespace stoat::rollout
--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -10,9 +10,9 @@
 
 constexpr double kFirstBucketMs = 2;
 constexpr double kBucketsPerDoubling = 2;
-/// From so many tokens on, reading is of the next class.
+/// Lower bounds of the prefill classes, in tokens.
 constexpr uint64_t kPrefillThresholds[] = {512, 2048, 8192};
-/// From such parts of the slots on, the load is of the next class.
+/// Lower bounds of the load classes, as fractions of the slots in use.
 constexpr double kLoadThresholds[] = {0.5, 1.0};
 
 }  // namespace
@@ -52,8 +52,8 @@
 
 void AnswerCounter::begin(CountedSend& send, TimePoint now) {
   send.sent_at = now;
-  // Sends to the target version count at once and the others when they have ended, so that the share that the
-  // target version got is never taken to be smaller than it is.
+  // Requests to the target version are counted when sent and the others when they end, so that the target
+  // version's share is never underestimated.
   if (send.key.target) {
     ++sums_of(send.key).sent;
   }
@@ -85,7 +85,8 @@
       ++sums_of(send.key).broken;
       break;
     case SendEnd::kAbandoned:
-      // Callers leave fast answers as well; one that has waited in vain for so long has seen a slow one.
+      // Callers also abandon fast answers. The answer counts as slow only if the caller waited for longer
+      // than the objective.
       if (now - send.sent_at > send.objective) {
         first_event(send, now);
       }
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -1,4 +1,4 @@
-/// What a router counts of the answers of a service that is moved to another version. Free of I/O.
+/// Counts the answers of a service during a rollout, at one router. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,53 +12,54 @@
 
 namespace stoat::rollout {
 
-/// Times fall into buckets that grow by the square root of two from 2 ms on; the last one takes all above
-/// some 4 s.
+/// Histogram of times: bucket bounds grow by a factor of the square root of two from 2 ms on; the last bucket
+/// holds everything above about 4 s.
 inline constexpr size_t kTimeBuckets = 24;
 size_t time_bucket(Duration time);
 
-/// The circumstances that make answers slow whatever their version: tokens that the back end has to read
-/// before its first event, and how much of its slots was taken. Answers of one condition can be compared. A
-/// condition is no easier than another when its reading and its load are both no lower.
+/// A condition classifies what makes answers slow whatever the version: the tokens to prefill before the
+/// first event, and the fraction of the slots in use. Answers under the same condition are comparable. A
+/// condition is at least as hard as another when both its prefill class and its load class are at least as
+/// high.
 inline constexpr uint8_t kPrefillClasses = 4;
 inline constexpr uint8_t kLoadClasses = 3;
 inline constexpr uint8_t kConditionCount = kPrefillClasses * kLoadClasses;
 uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots);
 bool is_at_least_as_hard(uint8_t condition, uint8_t base);
 
-/// How a send to a back end ended.
+/// How the sending of a request to a backend ended.
 enum class SendEnd : uint8_t {
   kAnswered,
-  kFailed,     ///< an error of the back end, or a malformed answer
-  kBroken,     ///< the connection broke or fell silent
-  kTimedOut,   ///< no whole answer until the request's time was over
+  kFailed,     ///< an error of the backend, or a malformed answer
+  kBroken,     ///< the connection broke or stalled
+  kTimedOut,   ///< no complete answer before the request's time-out
   kAbandoned,  ///< the caller left
-  kNotRun,     ///< the back end did not take it, or could not be reached
+  kNotRun,     ///< the backend rejected it, or could not be reached
 };
 
-/// One send that is counted.
+/// One request sent to a backend, as counted.
 struct CountedSend {
   fleet::AnswerKey key;
   TimePoint sent_at{0};
-  Duration objective{0};  ///< time to the first event that the route aims at
-  bool timed = false;
+  Duration objective{0};  ///< the route's target for the time to the first event
+  bool timed = false;     ///< the time to the first event was counted
 };
 
-/// See the head of this file.
+/// The answer counts of one router.
 class AnswerCounter {
  public:
-  /// A request goes out to a back end.
+  /// A request is sent to a backend.
   void begin(CountedSend& send, TimePoint now);
-  /// The first event, or the whole answer, has come.
+  /// The first event, or the whole answer, has arrived.
   void first_event(CountedSend& send, TimePoint now);
   void end(CountedSend& send, SendEnd end, TimePoint now);
-  /// Drops the counts of orders that are not under way any more.
+  /// Removes the counts of rollouts whose ids are not listed.
   void keep(const std::set<uint64_t>& rollouts);
 
   bool has_changes() const { return !changed_.empty(); }
-  /// What changed since the last call.
+  /// The counts that changed since the last call.
   std::vector<fleet::AnswerCount> take_changes();
-  /// All, which then counts as told.
+  /// All counts; clears the list of changes.
   std::vector<fleet::AnswerCount> take_all();
 
  private:
--- a/src/rollout/rollout_planner.cc
+++ b/src/rollout/rollout_planner.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Parts of the operators' bounds that are spent on a version on trial, and above which it gets no more for
-/// now. Draws of a tenth of the requests exceed their mean by 0.26 sqrt(N), and news of them are up to 0.5 s
-/// late.
+/// Fractions of the operators' bounds that are used for a version on trial, and at which its traffic is held.
+/// The margin covers random draws (a draw of a tenth of N requests exceeds its mean by 0.26 sqrt(N)) and
+/// counts that arrive up to 0.5 s late.
 constexpr double kTrialShareFraction = 0.7;
 constexpr double kTrialSlackFraction = 0.5;
 constexpr double kHoldShareFraction = 0.85;
@@ -26,7 +26,7 @@
 
 Duration time_left(const RolloutView& view) { return order_duration(view) - view.age; }
 
-/// The latest moment for a switch, as the time left then.
+/// The latest time for a switch, as the time before the deadline.
 Duration min_switch_lead(const RolloutView& view, const PlannerOptions& options) {
   return std::min(options.confirmation_time, fraction_of(order_duration(view), options.min_lead_fraction));
 }
@@ -54,27 +54,29 @@
 
 double request_rate(const RolloutView& view) { return view.all_sent / std::max(1.0, to_seconds(view.age)); }
 
-/// Requests that the rest of the trial is expected to see.
+/// Expected number of requests in the rest of the trial.
 double expected_requests(const RolloutView& view, const PlannerOptions& options) {
   const double rest = to_seconds(time_left(view) - switch_lead(view, options));
   return std::max(1.0, request_rate(view) * std::max(1.0, rest));
 }
 
-/// The share over some seconds.
+/// The intended share of the target version, averaged over bursts and pauses.
 double mean_share(const RolloutView& view, const PlannerOptions& options) {
   return std::min(options.max_share,
                   options.share + options.extra_requests / expected_requests(view, options));
 }
 
-/// The share of a burst: what the sampled back ends bear when their version has all. 0: without bursts they
-/// bear about as much, or the version has not yet earned so many requests.
+/// The share during a burst, which loads the sampled backends as after the switch. 0: no burst, because they
+/// bear about that load anyway, or because the burst would exceed the request budget so far.
 double burst_share(const RolloutView& view, const PlannerOptions& options) {
   const double mean = mean_share(view, options);
   const auto backends = static_cast<double>(std::max<size_t>(1, view.target_ready));
   const double full_load_share = static_cast<double>(sample_size(mean, view.target_ready)) / backends;
   const double share = std::min(full_load_share, options.max_burst_share);
   const double requests =
-      request_rate(view) * to_seconds(options.burst + options.propagation_time);  // while it goes on
+      request_rate(view) *
+      to_seconds(options.burst +
+                 options.propagation_time);  // during the burst and until it has stopped everywhere
   const bool within_budget = view.target_sent + requests * share <
                              options.hold_share * (view.all_sent + requests) + options.hold_extra_requests;
   return mean < options.min_load_fraction * full_load_share && within_budget ? share : 0;
@@ -85,12 +87,12 @@
   return burst > 0 ? burst : mean_share(view, options);
 }
 
-/// From the end of a burst to the next one.
+/// Time from the end of a burst to the next one.
 Duration pause_after(const RolloutView& view, const PlannerOptions& options) {
   return fraction_of(options.burst, trial_share(view, options) / mean_share(view, options) - 1);
 }
 
-/// True when enough was seen for a switch. `last`: there is no time to see more.
+/// True when there is enough evidence for a switch. `is_last_chance`: there is no time to collect more.
 bool has_enough_evidence(const RolloutView& view, const PlannerOptions& options, bool is_last_chance) {
   const Judgement& judgement = view.judgement;
   if (judgement.doubt >= options.max_doubt) {
@@ -120,7 +122,8 @@
   return std::nullopt;
 }
 
-/// Stops, or resumes, sending to a version that has had its share.
+/// Keeps the target version within its share: stops and resumes its traffic, and alternates bursts and
+/// pauses.
 std::optional<StepServiceRollout> regulate_share(const RolloutView& view, const PlannerOptions& options) {
   const bool on_hold = view.rollout->share <= 0;
   const auto change = [&](double share, const char* reason) {
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -1,7 +1,7 @@
-/// Decides the next step of a service's move to another version. Plans backwards from the deadline: the
-/// switch comes as late as the routers' confirmations and the runs at the old version allow, so that the
-/// version is on trial as long as it can be. Free of I/O and without state: what counts is in the log or
-/// given.
+/// Decides the next step of a service's rollout. It plans backwards from the deadline: the switch happens as
+/// late as the routers' confirmations and the requests in progress at the old version allow, so that the
+/// trial is as long as possible. Performs no I/O and has no state of its own: all inputs are in the
+/// replicated log or passed in.
 #pragma once
 
 #include <optional>
@@ -14,69 +14,77 @@
 
 namespace stoat::rollout {
 
-/// What operators let a version get before it is known to be good.
+/// The operators' bound on the requests that a version may get before it has been judged good.
 struct ExposureBounds {
-  double share = 0.1;  ///< of the service's requests
-  double slack = 50;   ///< requests besides
+  double share = 0.1;  ///< fraction of the service's requests
+  double slack = 50;   ///< additional requests, as an absolute number
 };
 
-/// Reads rollout_exposure_share and rollout_exposure_slack.
+/// Reads the settings rollout_exposure_share and rollout_exposure_slack.
 ExposureBounds read_exposure_bounds(SettingsReader& reader);
 
-/// Settings of a planner. The first four keep what a bad version gets below the operators' bound: a tenth of
-/// the service's requests and 50 more.
+/// Settings of the planner. The first four keep the requests that a bad version gets below the operators'
+/// bound, by default a tenth of the service's requests plus 50.
 struct PlannerOptions {
-  double share = 0.07;         ///< of the requests that go to a version on trial
-  double extra_requests = 25;  ///< requests besides, where a share is too few to judge by
-  double hold_share = 0.085;   ///< above this, and the extra below, the version gets no more for now
+  double share = 0.07;         ///< fraction of the requests that goes to a version on trial
+  double extra_requests = 25;  ///< additional requests, where the share alone gives too few answers to judge
+  double hold_share = 0.085;   ///< trial traffic stops above this share plus hold_extra_requests
   double hold_extra_requests = 36;
-  double max_share = 0.4;  ///< where the extra makes it larger
-  /// Where one back end would bear less than this part of its load in the end, the share comes in bursts.
+  double max_share = 0.4;  ///< upper limit of the trial share including the extra requests
+  /// The share is sent in bursts if a sampled backend would otherwise bear less than this fraction of its
+  /// load after the switch.
   double min_load_fraction = 0.8;
-  Duration burst = 800ms;  ///< longer than most requests take, so that load builds up
-  /// Until all routers keep to a step, and the leader knows what was sent till then.
+  Duration burst = 800ms;  ///< length of a burst: longer than most requests take, so that load builds up
+  /// Time until all routers have applied a step and the leader knows what was sent before that.
   Duration propagation_time = 500ms;
-  uint64_t preferred_answers = 30;  ///< judged before a switch; fewer where the share gives no more
-  uint64_t min_answers = 8;
-  double max_doubt = 0.5;               ///< Judgement::doubt above which nothing is switched
-  Duration confirmation_time = 1500ms;  ///< for the word of all routers, and the log
-  double max_lead_fraction = 1.0 / 3;   ///< of the time until the deadline that the switch may take at most
-  double min_lead_fraction = 0.15;      ///< that the shortest switch takes, at most confirm_time
-  double max_burst_share = 0.5;         ///< share in a burst
-  size_t max_rotating_backends = 14;    ///< so few back ends all get their turn in bursts; more, in the end
-  double spread_after_fraction = 0.7;  ///< of the trial, after which all of the version's back ends get of it
-  double min_capacity_ratio = 0.5;  ///< back ends of the version that must be ready, as a part of the others
+  uint64_t preferred_answers = 30;  ///< judged answers wanted before a switch
+  uint64_t min_answers = 8;         ///< enough at the last chance for a switch, where the share gives no more
+  double max_doubt = 0.5;           ///< no switch at or above this Judgement::doubt
+  Duration confirmation_time = 1500ms;  ///< time for the confirmations of all routers and the log
+  double max_lead_fraction =
+      1.0 / 3;  ///< longest time for the switch, as a fraction of the time until the deadline
+  double min_lead_fraction = 0.15;  ///< shortest time for the switch, likewise, but at most confirmation_time
+  double max_burst_share = 0.5;     ///< maximum share during a burst
+  size_t max_rotating_backends = 14;  ///< up to this many backends, bursts reach all of them in rotation
+  double spread_after_fraction =
+      0.7;  ///< fraction of the trial after which the share goes to all backends, if there are more than that
+  double min_capacity_ratio =
+      0.5;  ///< ready backends needed for a switch, relative to those of other versions
   Duration min_switch_duration =
-      1s;                          ///< from the switch to the end at least, to see the version under all load
-  Duration others_gone = 1500ms;   ///< without a back end of another version, nothing is to go back to
-  Duration rollback_timeout = 5s;  ///< a router whose word is missing for so long honours no keys any more
-  Duration final_window = 400ms;   ///< before the deadline, from when on a return waits for no router
+      1s;  ///< from the switch to completion, to observe the version under full load
+  Duration others_gone =
+      1500ms;  ///< after this time without backends of other versions, there is no fallback
+  /// A rollback ends after this time even without all confirmations: a router that has been out of contact
+  /// for so long accepts no keys any more.
+  Duration rollback_timeout = 5s;
+  Duration final_window = 400ms;  ///< time before the deadline from which a rollback waits for no router
 };
 
-/// Spends so much of the bounds that news which are late, and draws that fall high, stay within them.
+/// Derives options that use only part of the operators' bounds, as a margin for delayed counts and for random
+/// draws above their mean.
 PlannerOptions planner_options(const ExposureBounds& bounds);
 
-/// All that a step depends on.
+/// Input for the decision on the next step.
 struct RolloutView {
   const fleet::ServiceRollout* rollout = nullptr;
-  Duration age{0};      ///< since the order
-  Duration in_step{0};  ///< since the last step
+  Duration age{0};      ///< time since the order
+  Duration in_step{0};  ///< time since the last step
   bool service_known = true;
-  size_t target_ready = 0;  ///< back ends of the target version that may get requests
-  size_t others_ready = 0;
-  Duration others_gone{0};  ///< for how long there has been none of another version
-  Duration longest_run{0};  ///< that a request of the service may take
+  size_t target_ready = 0;  ///< backends of the target version that may get requests
+  size_t others_ready = 0;  ///< the same for other versions
+  Duration others_gone{0};  ///< how long there has been no backend of another version
+  Duration longest_run{0};  ///< longest time that a request of the service may take
   Judgement judgement;
-  double target_sent = 0;
-  double all_sent = 0;
-  bool all_applied = false;     ///< each router in touch keeps to the last step
-  uint64_t others_running = 0;  ///< requests under way at other versions
+  double target_sent = 0;       ///< requests sent to the target version
+  double all_sent = 0;          ///< requests sent to all versions
+  bool all_applied = false;     ///< every router in contact has applied the last step
+  uint64_t others_running = 0;  ///< requests in progress at other versions
 };
 
-/// The next step, or none.
+/// The next step, or nullopt if there is nothing to change.
 std::optional<fleet::StepServiceRollout> next_step(const RolloutView& view, const PlannerOptions& options);
 
-/// From the deadline back to the switch, if the trial can last that long.
+/// How long before the deadline the switch should start.
 Duration switch_lead(const RolloutView& view, const PlannerOptions& options);
 
 }  // namespace stoat::rollout
--- a/src/rollout/router_confirmations.cc
+++ b/src/rollout/router_confirmations.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A router whose connection has closed is back within its next status (400 ms), or has ended.
+/// A router whose connection was closed reconnects with its next status (400 ms), or has ended.
 constexpr Duration kReconnectGrace = 1s;
 
 }  // namespace
--- a/src/rollout/router_confirmations.h
+++ b/src/rollout/router_confirmations.h
@@ -1,4 +1,4 @@
-/// What routers have said of the orders that they keep to, and when each was heard. Free of I/O.
+/// Tracks which rollout steps each router has applied. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -10,24 +10,25 @@
 
 namespace stoat::rollout {
 
-/// The routers' word on one order.
+/// Summary of the routers' reports on one rollout.
 struct RouterWord {
-  bool all_applied = true;  ///< each router that may serve keeps to the step asked for, or to a later one
-  size_t missing = 0;       ///< routers that do not, as far as is known
-  uint64_t others_running = 0;
-  uint64_t target_running = 0;
+  bool all_applied = true;      ///< every router that may still serve has applied the step or a later one
+  size_t missing = 0;           ///< number of known routers that have not
+  uint64_t others_running = 0;  ///< requests in progress at other versions
+  uint64_t target_running = 0;  ///< requests in progress at the target version
 };
 
-/// See the head of this file.
+/// The latest report of each router.
 class RouterConfirmations {
  public:
-  /// `alone_time`: for how long a router that reaches no member may still serve.
+  /// `isolation_limit`: how long a router without contact to any member may keep serving.
   explicit RouterConfirmations(Duration isolation_limit) : isolation_limit_(isolation_limit) {}
 
   void note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied, TimePoint now);
-  /// The router has ended, or its connection has: it is back soon or not at all.
+  /// The router's connection was closed: it either reconnects soon or has ended.
   void note_closed(const std::string& router, TimePoint now);
-  /// The word of all routers on an order's step. Routers that are out of touch for good don't count.
+  /// Summarizes the reports on a step of a rollout. Routers that have ended, or have been out of contact for
+  /// longer than the isolation limit, are ignored.
   RouterWord word_on(uint64_t rollout, uint64_t step, TimePoint now);
 
  private:
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-/// A router that has had no confirmed word for so long gives the target version nothing while it is on trial:
-/// it may be taken back by now. Routers hear of confirmations each 400 ms.
+/// A router without a confirmation for longer than this sends nothing to a version on trial, which may have
+/// been rolled back by then. Routers receive confirmations every 400 ms.
 constexpr Duration kMaxConfirmationAge = 2s;
-/// So much of the share goes to routes by their requests, the rest to each route alike.
+/// Fraction of the share that is distributed over routes in proportion to their requests; the rest is
+/// distributed evenly over the routes.
 constexpr double kProportionalPart = 0.5;
-/// The most of one route's requests that go to a version on trial.
+/// Maximum fraction of one route's requests that goes to a version on trial.
 constexpr double kMaxRouteShare = 0.3;
-/// Requests, spread evenly over the routes, that a router counts in before it has seen any.
+/// Weight of the prior: requests, distributed evenly over the routes, that a router assumes before any are
+/// counted.
 constexpr double kPriorRequests = 20;
 
 }  // namespace
@@ -87,7 +89,7 @@
     return {};
   }
   using Preference = VersionLimits::Preference;
-  // A version that is the only one serves, whatever is not known of it; else the service would be down.
+  // The only version serves even though nothing is known of it; otherwise the service would be down.
   const bool is_only_version = rollout->active_versions.empty();
   switch (rollout->phase) {
     case fleet::RolloutPhase::kTrial:
@@ -121,7 +123,8 @@
   if (ids.size() <= wanted) {
     return ids;
   }
-  // With each step it is the turn of others, so that the failures of one can be told from the version's.
+  // The selection changes with each step, so that failures of one backend can be told from those of the
+  // version.
   std::vector<std::pair<uint64_t, std::string>> ranked;
   ranked.reserve(ids.size());
   for (std::string& id : ids) {
--- a/src/rollout/service_versions.h
+++ b/src/rollout/service_versions.h
@@ -1,4 +1,5 @@
-/// Which versions of a service's program a router sends requests to, by the orders in force. Free of I/O.
+/// Selects the program versions that a router sends requests to, according to the current rollouts. Performs
+/// no I/O.
 #pragma once
 
 #include <limits>
@@ -11,54 +12,56 @@
 
 namespace stoat::rollout {
 
-/// The versions that a request may go to: those of the lowest rank that a back end is there of.
+/// Preference among versions for one request: it goes to the available version with the lowest rank.
 struct VersionLimits {
   static constexpr int kNever = std::numeric_limits<int>::max();
   enum class Preference : uint8_t { kAny, kTarget, kOthers };
   Preference wanted = Preference::kAny;
-  bool allow_fallback = true;  ///< the versions that aren't wanted serve while nothing else is there
-  const fleet::ServiceRollout* rollout = nullptr;  ///< with kTarget and kOthers
+  bool allow_fallback = true;  ///< other versions may serve while no preferred one is available
+  const fleet::ServiceRollout* rollout = nullptr;  ///< set with kTarget and kOthers
 
-  /// 0 is the best; kNever: not at all.
+  /// Rank of a version; 0 is the best, kNever excludes it.
   int rank(const std::string& version) const;
 };
 
-/// See the head of this file.
+/// The rollouts known to one router, and the selection of versions by them.
 class ServiceVersions {
  public:
-  /// Takes orders that are newer than those known. Returns true when one was.
+  /// Stores the rollouts that are newer than the known ones. Returns true if there was any.
   bool take(const std::vector<fleet::ServiceRollout>& rollouts);
-  /// A quorum has confirmed what was told, so long ago as the moment says.
+  /// Records when a quorum last confirmed the known rollouts.
   void confirm(TimePoint confirmed_at) { confirmed_at_ = std::max(confirmed_at_, confirmed_at); }
-  /// The last order of a service, or nullptr.
+  /// The last rollout of a service, or nullptr.
   const fleet::ServiceRollout* find(const std::string& service) const;
   const std::map<std::string, fleet::ServiceRollout>& all() const { return rollouts_; }
 
-  /// Decides whether a request is of the share that goes to the target version. `unit`: a draw from [0, 1).
+  /// Decides whether a request is in the share that goes to the target version. `random_value`: uniform in
+  /// [0, 1).
   bool draw(const std::string& service, const std::string& route, double random_value, TimePoint now);
-  /// `sampled`: the request is of that share.
+  /// The version preference for a request. `sampled`: the result of draw().
   VersionLimits limits(const std::string& service, bool sampled) const;
 
  private:
   struct RouteCounts {
-    uint64_t id = 0;  ///< of the order that they are of
+    uint64_t id = 0;  ///< id of the rollout that the counts belong to
     uint64_t all = 0;
-    std::map<std::string, uint64_t> by_route;  ///< by route
+    std::map<std::string, uint64_t> by_route;  ///< requests by route
   };
   std::map<std::string, fleet::ServiceRollout> rollouts_;  ///< by service
-  std::map<std::string, RouteCounts> counts_;              ///< likewise
+  std::map<std::string, RouteCounts> counts_;              ///< by service
   TimePoint confirmed_at_{Duration::min()};
 };
 
-/// The share of one route's requests that goes to the target version, so that rare routes are seen as well
-/// and the sum over all routes stays `share`. `part`: of the service's requests that the route has.
+/// The fraction of one route's requests that goes to the target version. Rare routes get more than `share` so
+/// that they are tested as well, while the average over all requests stays `share`. `route_fraction`: the
+/// route's part of the service's requests.
 double share_of_route(double share, double route_fraction, size_t routes);
 
-/// How many of a version's back ends bear a share of the requests.
+/// Number of a version's backends that get a share of the requests; at least 1.
 size_t sample_size(double share, size_t backends);
 
-/// The back ends that bear the share, so that each bears as much as it would if its version had all: few, and
-/// at all routers the same. `ids`: ready ones of the target version.
+/// Selects the backends that get the share: few, so that each bears the load that it would have if its
+/// version had all traffic, and the same ones at every router. `ids`: ready backends of the target version.
 std::vector<std::string> sample_of(std::vector<std::string> ids, const fleet::ServiceRollout& rollout);
 
 }  // namespace stoat::rollout
--- a/src/rollout/version_judge.cc
+++ b/src/rollout/version_judge.cc
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// When more of the others' answers are bad, something hits all versions, and nothing is judged.
+/// Above this rate of bad answers at other versions, a problem affects all versions, and nothing is judged.
 constexpr double kMaxBaselineRate = 0.5;
-/// The others' present rate counts in so many answers at the floor's, against chance in few.
+/// Weight of the prior: baseline rates include this many answers at the minimum rate, to smooth small
+/// samples.
 constexpr double kPriorAnswers = 20;
 constexpr double kMedian = 0.5;
 
-/// How much likelier the answers are from a bad version, as a logarithm.
+/// Log-likelihood ratio of the answers between a bad version and a good one.
 double log_likelihood_ratio(double answers, double bad, double good_rate, const TestOptions& test,
                             double increase) {
   const double baseline_rate = std::max(good_rate * test.baseline_factor, test.min_rate);
@@ -35,7 +36,7 @@
   return std::accumulate(times.begin() + static_cast<std::ptrdiff_t>(bucket), times.end(), 0.0);
 }
 
-/// The bucket that half of the answers don't exceed; 0 where they are too few.
+/// The bucket of the median; 0 if there are too few answers.
 template <typename TimeHistogram>
 size_t median_bucket(const TimeHistogram& times) {
   const double answers = count_from(times, 0);
@@ -163,7 +164,7 @@
   if (baseline.answers >= min_answers) {
     return true;
   }
-  // Answers under harder conditions are slower, so that nothing is called slow that is not.
+  // Answers under harder conditions are slower, so adding them causes no false slow verdicts.
   baseline = {};
   for (uint8_t other = 0; other < kConditionCount; ++other) {
     if (!is_at_least_as_hard(other, condition)) {
@@ -187,7 +188,8 @@
     if (!baseline_for(route, condition, baseline)) {
       continue;
     }
-    // What slows all versions raises the others' present median, and so what counts as slow.
+    // A slowdown of all versions raises the recent medians of the baseline, and so the bound for slow
+    // answers.
     const size_t median = std::max(
         {median_bucket(baseline.all), median_bucket(baseline.recent), median_bucket(baseline.newest)});
     const size_t slow = std::min(kTimeBuckets - 1, median + options_.slow_buckets);
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -1,10 +1,11 @@
-/// Judges a version of a program by its answers, against those that the other versions give at the same time,
-/// on the same routes, and with the same work and load. Free of I/O.
+/// Judges a program version by its answers, compared with those of the other versions at the same time, on
+/// the same routes, and under the same conditions. Performs no I/O.
 ///
-/// Each answer moves a sum by the logarithm of how much likelier it is from a bad version than from a good
-/// one; the sum never falls below 0, so that a version that turns bad late is found as soon (Page's test).
-/// Above a limit the version is bad. What hits all versions alike is in the others' rates and moves nothing.
-/// One back end alone does not make its version bad: without any one of them the sum must still be raised.
+/// Uses Page's test (CUSUM): each answer changes a sum by its log-likelihood ratio between a bad version and
+/// a good one. The sum never falls below 0, so that a version that turns bad late is detected as quickly.
+/// Above a threshold the version is bad. Problems that affect all versions alike are part of the baseline
+/// rates and do not change the sum. One backend alone does not make its version bad: the sum must stay raised
+/// without any single backend.
 #pragma once
 
 #include <array>
@@ -19,57 +20,58 @@
 
 namespace stoat::rollout {
 
-/// What one kind of bad answer is tested with. Rates are parts of the answers.
+/// Parameters of the test for one kind of bad answer. Rates are fractions of the answers.
 struct TestOptions {
-  double min_rate = 0;         ///< a good version's rate is taken to be this at least
-  double baseline_factor = 1;  ///< and so many times that of the others
-  double small_increase = 0;   ///< a bad version's rate is higher by so much at least
-  double large_increase = 0;   ///< a plainly bad one's by so much: it is found by fewer answers
-  double threshold = 0;        ///< of the sum of logarithms
+  double min_rate = 0;         ///< lower limit of the bad-answer rate assumed for a good version
+  double baseline_factor = 1;  ///< that rate is this many times the baseline rate
+  double small_increase = 0;   ///< by how much the rate of a bad version is higher, at least
+  double large_increase = 0;   ///< the same for an obviously bad version, which fewer answers detect
+  double threshold = 0;        ///< of the sum of log-likelihood ratios
 };
 
-/// Settings of a judge. The rates of wrong verdicts that they give are stated by the property tests.
+/// Settings of the judge. The property tests state the rates of wrong verdicts that they result in.
 struct JudgeOptions {
   TestOptions failures{0.01, 1.6, 0.08, 0.4, 14};
   TestOptions slowness{0.03, 1.3, 0.08, 0.4, 12};
-  Duration decay_time = 2s;             ///< the others' rates are those of about so long
-  Duration short_decay_time = 100ms;    ///< and no lower than those of about so long, where many answers came
-  size_t slow_buckets = 3;              ///< slow: so many buckets above the others' median (2.8 times)
-  uint64_t min_baseline_answers = 30;   ///< fewer answers of other versions are nothing to compare with
-  double leave_one_out_fraction = 0.3;  ///< part of the limit that is passed without any one back end
-  double max_breaks_per_s = 8;          ///< more broken connections are those of a crash, or of a cut
-  double max_break_burst = 2;
-  uint64_t covered_route_answers = 8;  ///< a route is covered by so many
-  double min_route_fraction = 0.03;    ///< routes with a smaller part of the requests need not be covered
+  Duration decay_time = 2s;           ///< decay time constant of the baseline rates
+  Duration short_decay_time = 100ms;  ///< the same for the short-term rates, which raise the baseline if
+                                      ///< there are many answers
+  size_t slow_buckets = 3;  ///< an answer is slow this many buckets above the baseline median (2.8 times)
+  uint64_t min_baseline_answers = 30;   ///< fewer answers of other versions are no baseline
+  double leave_one_out_fraction = 0.3;  ///< fraction of the threshold to reach without any single backend
+  double max_breaks_per_s = 8;          ///< any above are attributed to a crash or a network partition
+  double max_break_burst = 2;           ///< broken connections that may count at once
+  uint64_t covered_route_answers = 8;   ///< answers of the target version that cover a route
+  double min_route_fraction = 0.03;     ///< routes with a smaller fraction of the requests need no coverage
 };
 
-/// What is known so far.
+/// The verdict so far.
 struct Judgement {
   bool bad = false;
-  double doubt = 0;      ///< highest sum as a part of its limit; 1 and more: bad
-  std::string finding;   ///< which test has the highest one
-  uint64_t answers = 0;  ///< of the version on trial that were judged
-  uint64_t failed = 0;   ///< of them
-  bool covered = false;  ///< answers of each route that matters are among them
+  double doubt = 0;      ///< highest sum as a fraction of its threshold; 1 or more: bad
+  std::string finding;   ///< the test with the highest fraction
+  uint64_t answers = 0;  ///< judged answers of the target version
+  uint64_t failed = 0;   ///< failed and broken ones among them
+  bool covered = false;  ///< enough answers were judged on each route that needs coverage
 };
 
-/// See the head of this file.
+/// The judge of one rollout, see the top of this file.
 class VersionJudge {
  public:
   explicit VersionJudge(const JudgeOptions& options = {}) : options_(options) {}
 
-  /// Takes what was counted for a key since the last call for it.
+  /// Adds the counts of a key since the previous call for it.
   void add(const fleet::AnswerKey& key, const fleet::AnswerSums& growth);
-  /// Judges what was added since the last call. To be called some times a second.
+  /// Judges the counts that were added since the last call. Call several times a second.
   const Judgement& judge(TimePoint now);
   const Judgement& judgement() const { return judgement_; }
 
  private:
   using TimeHistogram = std::array<double, kTimeBuckets>;
   using ByBackend = std::map<size_t, double>;
-  /// Answers of one back end since the last judgement.
+  /// Counts of answers, of one backend or of all other versions.
   struct AnswerTally {
-    double complete = 0;  ///< errors among them
+    double complete = 0;  ///< complete answers, including errors
     double failed = 0;
     double broken = 0;
     double all() const { return complete + broken; }
@@ -80,53 +82,55 @@
       broken *= part;
     }
   };
-  /// One test: its sum, and what the sum would be without each of the back ends.
+  /// State of one test: the sum, and the sum without each single backend.
   struct Cusum {
     double total = 0;
-    ByBackend without;  ///< by back end
+    ByBackend without;  ///< by the backend that is left out
   };
-  /// One kind of bad answer: a sum for bad versions and one for plainly bad ones.
+  /// The tests for one kind of bad answer: for bad versions, and for obviously bad ones.
   struct CusumPair {
     Cusum small_increase;
     Cusum large_increase;
   };
-  /// What both are moved by.
+  /// Increments of both sums, by backend.
   struct Increments {
     ByBackend small_increase;
     ByBackend large_increase;
   };
-  /// The others' answers of one condition.
+  /// Answers of other versions under one condition.
   struct Baseline {
     TimeHistogram all{};
-    TimeHistogram recent{};  ///< of about the judge's memory
-    TimeHistogram newest{};  ///< of about its short memory
+    TimeHistogram recent{};  ///< decays with JudgeOptions::decay_time
+    TimeHistogram newest{};  ///< decays with JudgeOptions::short_decay_time
     double answers = 0;
   };
   struct Route {
     double others_answers = 0;
-    AnswerTally recent;  ///< of others, in about the judge's memory
-    AnswerTally newest;  ///< and in its short memory
+    AnswerTally recent;  ///< of other versions; decays with JudgeOptions::decay_time
+    AnswerTally newest;  ///< of other versions; decays with JudgeOptions::short_decay_time
     double target_answers = 0;
     std::array<Baseline, kConditionCount> baselines;
-    std::map<size_t, AnswerTally> failures;  ///< since the last judgement, by back end
+    std::map<size_t, AnswerTally> failures;  ///< since the last judgement, by backend
     std::map<std::pair<uint8_t, size_t>, TimeHistogram> times;
     CusumPair failure_cusums;
     CusumPair slowness_cusums;
   };
   size_t backend_index(const std::string& engine);
-  /// Lets the others' earlier answers count less.
+  /// Reduces the weight of earlier answers of other versions.
   void decay_baseline(Duration elapsed);
-  /// The part of the broken connections since the last judgement that may count.
+  /// The fraction of the broken connections since the last judgement that may count.
   double countable_break_fraction(Duration elapsed);
   void judge_failures(Route& route, double counted, Increments& pooled);
   void judge_slowness(Route& route, Increments& pooled);
-  /// The answers of others that a condition's are compared with; false: too few.
+  /// Sets `baseline` to the answers of other versions to compare a condition with. Returns false if there are
+  /// too few.
   bool baseline_for(const Route& route, uint8_t condition, Baseline& baseline) const;
-  /// Adds what the answers of one back end move, given the others' rate.
+  /// Adds the log-likelihood ratios of one backend's answers, given the baseline rate of bad answers.
   static void add_increments(size_t backend, double answers, double bad, double rate, const TestOptions& test,
                              Increments& increments);
   static void update(Cusum& sum, const ByBackend& log_likelihood_ratios);
   static void update(CusumPair& sums, const Increments& increments);
+  /// Raises the doubt in the judgement if this test gives a higher one.
   void raise_doubt(const Cusum& sum, const TestOptions& test, const std::string& name);
   void raise_doubt(const CusumPair& sums, const TestOptions& test, const std::string& name);
   bool all_routes_covered() const;
@@ -136,8 +140,8 @@
   std::map<std::string, Route> routes_;
   CusumPair pooled_failure_cusums_;
   CusumPair pooled_slowness_cusums_;
-  double pending_breaks_ = 0;  ///< of the target version since the last judgement
-  double break_budget_ = 0;    ///< that may still count
+  double pending_breaks_ = 0;  ///< broken connections at the target version since the last judgement
+  double break_budget_ = 0;    ///< broken connections that may still count
   TimePoint judged_at_{0};
   Judgement judgement_;
 };
--- a/tests/property/service_rollout_property_test.cc
+++ b/tests/property/service_rollout_property_test.cc
@@ -1,5 +1,5 @@
-/// Drawn roll-outs, played by the classes that decide: how often a good version is taken for a bad one, a bad
-/// one for good, and how often a bad one gets more requests than operators allow.
+/// Random rollouts, simulated with the planner and the judge. Bounds how often a good version is rejected, a
+/// bad one is accepted, and a bad one gets more requests than the operators allow.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -16,20 +16,20 @@
 
 constexpr uint64_t kRollouts = 100000;
 constexpr unsigned kThreads = 4;
-/// Such a version has shown enough of itself to be found.
-constexpr double kPlainlyBad = 100;
+/// Bad answers before the switch from which on a version must be detected.
+constexpr double kClearlyBadAnswers = 100;
 
 struct Outcomes {
   std::atomic<uint64_t> good{0};
   std::atomic<uint64_t> good_completed{0};
   std::atomic<uint64_t> bad{0};
-  std::atomic<uint64_t> bad_taken_back{0};
-  std::atomic<uint64_t> plainly_bad_completed{0};
+  std::atomic<uint64_t> bad_rolled_back{0};
+  std::atomic<uint64_t> clearly_bad_completed{0};
   std::atomic<uint64_t> too_many{0};
   std::atomic<uint64_t> too_long{0};
 };
 
-void play(uint64_t seed, Outcomes& outcomes) {
+void simulate(uint64_t seed, Outcomes& outcomes) {
   const bool bad = seed % 2 == 1;
   DrawnRollout rollout(draw_rollout(seed, bad), seed);
   rollout.run();
@@ -39,20 +39,20 @@
     return;
   }
   ++outcomes.bad;
-  outcomes.bad_taken_back += rollout.rolled_back_in_time() ? 1 : 0;
+  outcomes.bad_rolled_back += rollout.rolled_back_in_time() ? 1 : 0;
   const bool completed = rollout.rollout().phase == fleet::RolloutPhase::kCompleted;
-  outcomes.plainly_bad_completed += completed && rollout.bad_before_switch() >= kPlainlyBad ? 1 : 0;
+  outcomes.clearly_bad_completed += completed && rollout.bad_before_switch() >= kClearlyBadAnswers ? 1 : 0;
   outcomes.too_many += rollout.got_too_many() ? 1 : 0;
   outcomes.too_long += rollout.got_it_too_long() ? 1 : 0;
 }
 
-TEST(ServiceRolloutProperty, AHundredThousandDrawnRollouts) {
+TEST(ServiceRolloutProperty, HundredThousandRandomRollouts) {
   Outcomes outcomes;
   std::vector<std::thread> threads;
   for (unsigned thread = 0; thread < kThreads; ++thread) {
     threads.emplace_back([thread, &outcomes] {
       for (uint64_t seed = thread; seed < kRollouts; seed += kThreads) {
-        play(seed, outcomes);
+        simulate(seed, outcomes);
       }
     });
   }
@@ -63,12 +63,12 @@
     return static_cast<double>(some) / static_cast<double>(all);
   };
   std::cout << "good " << outcomes.good << ", completed in time " << outcomes.good_completed << "; bad "
-            << outcomes.bad << ", taken back in time " << outcomes.bad_taken_back
-            << "; plainly bad, completed " << outcomes.plainly_bad_completed << "; too many requests "
+            << outcomes.bad << ", rolled back in time " << outcomes.bad_rolled_back
+            << "; clearly bad, completed " << outcomes.clearly_bad_completed << "; too many requests "
             << outcomes.too_many << ", for too long " << outcomes.too_long << "\n";
   EXPECT_GE(part(outcomes.good_completed, outcomes.good), 0.99);
-  EXPECT_GE(part(outcomes.bad_taken_back, outcomes.bad), 0.96);
-  EXPECT_LE(part(outcomes.plainly_bad_completed, outcomes.bad), 0.005);
+  EXPECT_GE(part(outcomes.bad_rolled_back, outcomes.bad), 0.96);
+  EXPECT_LE(part(outcomes.clearly_bad_completed, outcomes.bad), 0.005);
   EXPECT_EQ(outcomes.too_many, 0U);
   EXPECT_LE(part(outcomes.too_long, outcomes.bad), 0.002);
 }
--- a/tests/simulation/rollout_scenarios_test.cc
+++ b/tests/simulation/rollout_scenarios_test.cc
@@ -1,5 +1,5 @@
-/// The rollout of weights over a large fleet of modelled engines, in simulated time: several versions in
-/// quick succession, a change of leader in the midst of them, and crashes of many engines.
+/// Rollouts of weights to a large fleet of modelled engines, in simulated time: several versions in quick
+/// succession, a leader change during a rollout, and crashes of many engines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,10 +17,11 @@
 constexpr Duration kStep = 20ms;
 constexpr Duration kLoadTime = 630ms;
 constexpr Duration kStartDelay = 2500ms;
-/// From the last word of a leader until the next one may order: the holder's lease and what is added to it.
+/// Time from the last message of a leader until the next one may send orders: the holder's lease plus a
+/// margin.
 constexpr Duration kLeaderGap = 3400ms;
 
-/// One engine: takes an order, loads for a while, and has the version then.
+/// One engine: accepts an order, and has the version after the load time.
 struct ModelEngine {
   fleet::BackendRecord record;
   uint64_t order_sequence = 0;
@@ -36,7 +37,7 @@
       start(engines_.emplace_back());
     }
   }
-  /// An engine starts with an identity of its own and the weights that it had.
+  /// Starts an engine under a new identity with the weights that it had.
   void start(ModelEngine& engine) {
     const std::vector<fleet::ModelVersion> models = engine.record.models;
     engine = {};
@@ -45,16 +46,16 @@
     engine.record.models = models.empty() ? std::vector<fleet::ModelVersion>{{"m", 1}} : models;
   }
   void name(uint64_t version) { named_["m"].note(version, now_); }
-  /// The leader is lost; the next one begins without what the last one had under way.
+  /// Replaces the leader; the new one does not know the orders in progress of the old one.
   void change_leader() {
     rollout_ = std::make_unique<control::WeightRollout>(options());
     orders_from_ = now_ + kLeaderGap;
   }
-  void crash(double share, Duration down) {
+  void crash(double share, Duration downtime) {
     for (ModelEngine& engine : engines_) {
       if (random_.chance(share)) {
         start(engine);
-        engine.down_until = now_ + down;
+        engine.down_until = now_ + downtime;
       }
     }
   }
@@ -72,7 +73,7 @@
       most_loading_ = std::max(most_loading_, static_cast<size_t>(loading));
     }
   }
-  size_t behind(uint64_t version) const {
+  size_t engines_below(uint64_t version) const {
     return static_cast<size_t>(
         std::count_if(engines_.begin(), engines_.end(),
                       [&](const ModelEngine& engine) { return engine.record.version_of("m") < version; }));
@@ -136,7 +137,7 @@
   size_t started_ = 0;
 };
 
-TEST_F(RolloutScenario, EachOfSeveralVersionsIsEverywhereWithinItsLimit) {
+TEST_F(RolloutScenario, EachVersionReachesAllEnginesWithinTheLimit) {
   add_engines(240);
   const TimePoint begin = now_;
   constexpr Duration kLimit = 10s;
@@ -146,27 +147,27 @@
   }
   for (uint64_t version = 2; version <= 5; ++version) {
     run_until(begin + static_cast<int64_t>(version - 2) * 4s + kLimit);
-    EXPECT_EQ(behind(version), 0U) << "version " << version;
+    EXPECT_EQ(engines_below(version), 0U) << "version " << version;
   }
   EXPECT_LE(most_loading_, 40U);
 }
 
-TEST_F(RolloutScenario, ANewLeaderGoesOnAsSoonAsItMayOrder) {
+TEST_F(RolloutScenario, NewLeaderResumesAfterItsOrderingGap) {
   add_engines(240);
   name(2);
   run_until(now_ + kStartDelay + 2s);
   change_leader();
   const TimePoint orders_from = now_ + kLeaderGap;
-  run_until(now_ + 1s);  // what the last leader had ordered is loaded
-  const size_t before = behind(2);
+  run_until(now_ + 1s);  // loads ordered by the last leader finish
+  const size_t before = engines_below(2);
   ASSERT_GT(before, 0U);
   run_until(orders_from + 1s);  // an announcement and a load after the gap
-  EXPECT_LT(behind(2), before);
+  EXPECT_LT(engines_below(2), before);
   run_until(now_ + 6s);
-  EXPECT_EQ(behind(2), 0U);
+  EXPECT_EQ(engines_below(2), 0U);
 }
 
-TEST_F(RolloutScenario, EnginesThatCrashAndComeBackWithOldWeightsGetTheNewestOnes) {
+TEST_F(RolloutScenario, CrashedEnginesWithOldWeightsGetTheNewestVersion) {
   add_engines(240);
   name(2);
   run_until(now_ + 4s);
@@ -176,7 +177,7 @@
   crash(0.3, 1s);
   change_leader();
   run_until(now_ + kLeaderGap + 8s);
-  EXPECT_EQ(behind(3), 0U);
+  EXPECT_EQ(engines_below(3), 0U);
 }
 
 }  // namespace
--- a/tests/unit/rollout_fleet_test.cc
+++ b/tests/unit/rollout_fleet_test.cc
@@ -1,5 +1,5 @@
-/// A service moved to another version in a whole small fleet: an operator's order, engines of two versions, a
-/// router, callers, and what becomes of it. Times are some seconds, since that is what orders have.
+/// Rollouts of a service version in a small fleet: an operator's order, engines of two versions, a router and
+/// callers. The tests run for several seconds because orders have deadlines of seconds.
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
@@ -14,15 +14,15 @@
 using test::run_on;
 
 constexpr int64_t kDurationMs = 6000;
-constexpr std::chrono::milliseconds kBetweenRequests{4};
-/// Engines tell their state so often.
+constexpr std::chrono::milliseconds kRequestInterval{4};
+/// Interval between the heartbeats of an engine.
 constexpr Duration kHeartbeat = 300ms;
 
 class RolloutFleetTest : public test::SmallFleet {
  protected:
   ~RolloutFleetTest() override { stop_callers(); }
 
-  /// An engine that answers with its version. Each `fail_one_in`th answer is an error; 0: none.
+  /// Starts an engine that answers with its version. Every `fail_one_in`th answer is an error; 0: none.
   void start_engine(const std::string& version, size_t fail_one_in = 0,
                     std::chrono::milliseconds delay = std::chrono::milliseconds(2)) {
     auto answered = std::make_shared<std::atomic<size_t>>(0);
@@ -39,17 +39,17 @@
     record->slots = 8;
     record->software = version;
     run_on(control_loop_, [this, record] {
-      const auto beat = [this, record] {
+      const auto send_heartbeat = [this, record] {
         ++record->sequence;
         control_->heartbeat(*record);
       };
-      beat();
-      control_loop_.every(kHeartbeat, beat);
+      send_heartbeat();
+      control_loop_.every(kHeartbeat, send_heartbeat);
       return true;
     });
     ASSERT_TRUE(wait_for([&] { return router_->knows_backend(record->id); }));
   }
-  std::optional<control::ResultCode> order(const std::string& version) {
+  std::optional<control::ResultCode> submit_order(const std::string& version) {
     auto result = std::make_shared<std::promise<std::optional<control::ResultCode>>>();
     auto future = result->get_future();
     control_loop_.post([this, version, result] {
@@ -70,15 +70,15 @@
     });
     return future.get();
   }
-  /// Sends requests one after the other until told to stop, and counts the answers.
+  /// Starts callers that each send one request after the other until stopped, and counts the answers.
   void start_callers() {
     for (int caller = 0; caller < 3; ++caller) {
       callers_.emplace_back([this, caller] {
         for (int number = 0; !stop_; ++number) {
           const std::string id = "q" + std::to_string(caller) + "-" + std::to_string(number);
           const std::string answer = ask("GET", "/safe/x", id);
-          ++(test::status_of(answer) == "HTTP/1.1 200" ? good_ : other_);
-          std::this_thread::sleep_for(kBetweenRequests);
+          ++(test::status_of(answer) == "HTTP/1.1 200" ? succeeded_ : failed_);
+          std::this_thread::sleep_for(kRequestInterval);
         }
       });
     }
@@ -90,23 +90,24 @@
     }
     callers_.clear();
   }
-  /// Waits until the rollout is at a phase; the time since the order, or a negative one.
-  int64_t wait_for_phase(fleet::RolloutPhase wanted) {
+  /// Waits until the rollout reaches a phase. Returns the waiting time in milliseconds, or -1 if it never
+  /// does.
+  int64_t wait_for_phase(fleet::RolloutPhase expected) {
     const auto begin = std::chrono::steady_clock::now();
-    const auto since = [&] {
+    const auto elapsed = [&] {
       return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - begin)
           .count();
     };
-    while (since() < kDurationMs + 3000) {
-      if (phase() == wanted) {
-        return since();
+    while (elapsed() < kDurationMs + 3000) {
+      if (phase() == expected) {
+        return elapsed();
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
     return -1;
   }
-  size_t seen(size_t engine) const { return engines_[engine]->requests().size(); }
-  void prepare() {
+  size_t requests_at(size_t engine) const { return engines_[engine]->requests().size(); }
+  void start_old_version() {
     auto configuration = make_configuration(1);
     ASSERT_TRUE(configure(configuration));
     start_engine("v1");
@@ -116,78 +117,79 @@
   std::vector<std::unique_ptr<ScriptedEngine>> engines_;
   std::vector<std::thread> callers_;
   std::atomic<bool> stop_{false};
-  std::atomic<size_t> good_{0};
-  std::atomic<size_t> other_{0};
+  std::atomic<size_t> succeeded_{0};
+  std::atomic<size_t> failed_{0};
 };
 
-TEST_F(RolloutFleetTest, AGoodVersionGetsAShareThenAllAndIsCompletedInTime) {
-  prepare();
+TEST_F(RolloutFleetTest, GoodVersionIsTriedAndCompletedBeforeTheDeadline) {
+  start_old_version();
   start_callers();
-  ASSERT_EQ(order("v2"), control::ResultCode::kOk);
+  ASSERT_EQ(submit_order("v2"), control::ResultCode::kOk);
   start_engine("v2");
   start_engine("v2");
-  const int64_t took = wait_for_phase(fleet::RolloutPhase::kCompleted);
-  EXPECT_GT(took, kDurationMs / 2) << "it is on trial as long as it can be";
-  EXPECT_LT(took, kDurationMs);
-  const size_t old_ones = seen(0) + seen(1);
+  const int64_t elapsed_ms = wait_for_phase(fleet::RolloutPhase::kCompleted);
+  EXPECT_GT(elapsed_ms, kDurationMs / 2) << "the trial should last as long as possible";
+  EXPECT_LT(elapsed_ms, kDurationMs);
+  const size_t old_version_requests = requests_at(0) + requests_at(1);
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  EXPECT_EQ(seen(0) + seen(1), old_ones) << "they may stop at once";
+  EXPECT_EQ(requests_at(0) + requests_at(1), old_version_requests)
+      << "the old engines got requests after completion";
   stop_callers();
-  EXPECT_GT(good_, 100U);
-  EXPECT_EQ(other_, 0U);
-  EXPECT_EQ(order("v2"), control::ResultCode::kOk);
+  EXPECT_GT(succeeded_, 100U);
+  EXPECT_EQ(failed_, 0U);
+  EXPECT_EQ(submit_order("v2"), control::ResultCode::kOk);
   EXPECT_EQ(phase(), fleet::RolloutPhase::kCompleted);
 }
 
-TEST_F(RolloutFleetTest, ABadVersionIsTakenBackAndGetsNothingAfterwards) {
-  prepare();
+TEST_F(RolloutFleetTest, FailingVersionIsRolledBack) {
+  start_old_version();
   start_callers();
-  ASSERT_EQ(order("v2"), control::ResultCode::kOk);
-  EXPECT_EQ(order("v3"), control::ResultCode::kUnderWay);
+  ASSERT_EQ(submit_order("v2"), control::ResultCode::kOk);
+  EXPECT_EQ(submit_order("v3"), control::ResultCode::kUnderWay);
   start_engine("v2", 2);
   start_engine("v2", 2);
-  const int64_t took = wait_for_phase(fleet::RolloutPhase::kRolledBack);
-  EXPECT_GT(took, 0);
-  EXPECT_LT(took, kDurationMs);
-  const size_t new_ones = seen(2) + seen(3);
-  const size_t all = new_ones + seen(0) + seen(1);
-  EXPECT_LT(static_cast<double>(new_ones), 0.1 * static_cast<double>(all) + 50);
+  const int64_t elapsed_ms = wait_for_phase(fleet::RolloutPhase::kRolledBack);
+  EXPECT_GT(elapsed_ms, 0);
+  EXPECT_LT(elapsed_ms, kDurationMs);
+  const size_t new_version_requests = requests_at(2) + requests_at(3);
+  const size_t all = new_version_requests + requests_at(0) + requests_at(1);
+  EXPECT_LT(static_cast<double>(new_version_requests), 0.1 * static_cast<double>(all) + 50);
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
-  EXPECT_EQ(seen(2) + seen(3), new_ones);
+  EXPECT_EQ(requests_at(2) + requests_at(3), new_version_requests);
   stop_callers();
-  EXPECT_EQ(other_, 0U) << "the other version answers what the new one fails";
+  EXPECT_EQ(failed_, 0U) << "failed requests should be retried at the old version";
 }
 
-TEST_F(RolloutFleetTest, ASlowVersionIsTakenBack) {
-  prepare();
+TEST_F(RolloutFleetTest, SlowVersionIsRolledBack) {
+  start_old_version();
   start_callers();
-  ASSERT_EQ(order("v2"), control::ResultCode::kOk);
+  ASSERT_EQ(submit_order("v2"), control::ResultCode::kOk);
   start_engine("v2", 0, std::chrono::milliseconds(120));
   start_engine("v2", 0, std::chrono::milliseconds(120));
   EXPECT_GT(wait_for_phase(fleet::RolloutPhase::kRolledBack), 0);
   stop_callers();
-  EXPECT_EQ(other_, 0U);
+  EXPECT_EQ(failed_, 0U);
 }
 
-TEST_F(RolloutFleetTest, EnginesThatNeverComeLeaveEverythingAsItWas) {
-  prepare();
+TEST_F(RolloutFleetTest, RollsBackWithoutEnginesOfTheVersion) {
+  start_old_version();
   start_callers();
-  ASSERT_EQ(order("v2"), control::ResultCode::kOk);
-  const int64_t took = wait_for_phase(fleet::RolloutPhase::kRolledBack);
-  EXPECT_GT(took, 0);
-  EXPECT_LT(took, kDurationMs);
+  ASSERT_EQ(submit_order("v2"), control::ResultCode::kOk);
+  const int64_t elapsed_ms = wait_for_phase(fleet::RolloutPhase::kRolledBack);
+  EXPECT_GT(elapsed_ms, 0);
+  EXPECT_LT(elapsed_ms, kDurationMs);
   stop_callers();
-  EXPECT_EQ(other_, 0U);
+  EXPECT_EQ(failed_, 0U);
 }
 
-TEST_F(RolloutFleetTest, WithoutAnOrderEnginesOfAllVersionsServe) {
-  prepare();
+TEST_F(RolloutFleetTest, AllVersionsServeWithoutAnOrder) {
+  start_old_version();
   start_engine("v2");
   start_callers();
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
   stop_callers();
-  EXPECT_GT(seen(0), 10U);
-  EXPECT_GT(seen(2), 10U);
+  EXPECT_GT(requests_at(0), 10U);
+  EXPECT_GT(requests_at(2), 10U);
 }
 
 }  // namespace
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -1,4 +1,4 @@
-/// The planner's steps of a service's move to another version, also when something fails halfway.
+/// The planner's steps of a service rollout, including failures in every phase.
 #include "src/rollout/rollout_planner.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   rollout::PlannerOptions options_;
 };
 
-TEST_F(PlannerTest, WaitsForBackEndsThenTriesThenSwitches) {
+TEST_F(PlannerTest, WaitsForBackendsThenStartsTheTrialThenSwitches) {
   view_.target_ready = 0;
   EXPECT_FALSE(next(RolloutPhase::kWaiting, 1s));
   view_.target_ready = 45;
@@ -49,11 +49,11 @@
   EXPECT_EQ(trial->phase, RolloutPhase::kTrial);
   EXPECT_GT(trial->share, 0.05);
   EXPECT_LT(trial->share, 0.09);
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "it is on trial as long as it can be";
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "the trial should last as long as possible";
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 8s, RolloutPhase::kSwitching));
 }
 
-TEST_F(PlannerTest, CompletesOnlyWhenAllRoutersHaveLeftTheOthersAndNothingRunsThere) {
+TEST_F(PlannerTest, CompletesOnlyWhenNoRouterUsesOtherVersions) {
   view_.in_step = 1500ms;
   view_.all_applied = false;
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 10s));
@@ -61,12 +61,12 @@
   view_.others_running = 1;
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 10s));
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 13s))
-      << "its runs would be cut off; the deadline is missed instead";
+      << "completion would cut off running requests; missing the deadline is preferred";
   view_.others_running = 0;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 10s, RolloutPhase::kCompleted));
 }
 
-TEST_F(PlannerTest, ABadVersionGoesBackAlsoFromTheSwitch) {
+TEST_F(PlannerTest, BadVersionIsRolledBackFromTrialAndSwitch) {
   view_.judgement.bad = true;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
   EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
@@ -76,15 +76,15 @@
   EXPECT_TRUE(next_phase_is(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
 }
 
-TEST_F(PlannerTest, BackEndsThatNeverComeOrAreTooFewGoBackBeforeTheDeadline) {
+TEST_F(PlannerTest, RollsBackBeforeTheDeadlineWithTooFewBackends) {
   view_.target_ready = 0;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
   view_.target_ready = 3;
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more may come";
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more backends may become available";
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, AVersionThatWasNotSeenOrIsInDoubtGoesBack) {
+TEST_F(PlannerTest, RollsBackWithTooFewAnswersOrInDoubt) {
   view_.judgement.answers = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s));
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
@@ -93,24 +93,25 @@
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, WhenAllOthersHaveGoneAVersionThatWasSeenTakesOver) {
+TEST_F(PlannerTest, TestedVersionTakesOverWhenAllOthersAreGone) {
   view_.others_ready = 0;
   view_.others_gone = 200ms;
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "they may be back at once";
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "the other backends may return at once";
   view_.others_gone = 2s;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning)) << "a bad one does not";
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning))
+      << "a bad version must not take over";
 }
 
-TEST_F(PlannerTest, AServiceThatTheConfigurationDropsGoesBack) {
+TEST_F(PlannerTest, RollsBackWhenTheServiceIsRemoved) {
   view_.service_known = false;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
   EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, ALeaderThatComesAfterTheDeadlineEndsIt) {
+TEST_F(PlannerTest, LeaderElectedAfterTheDeadlineEndsTheRollout) {
   EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
   view_.judgement.answers = 0;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
@@ -118,14 +119,14 @@
   EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
 }
 
-TEST_F(PlannerTest, AVersionThatHasHadItsShareIsHeld) {
+TEST_F(PlannerTest, HoldsAVersionThatHasUsedItsShare) {
   view_.target_sent = 0.09 * view_.all_sent + 40;
   const auto on_hold = next(RolloutPhase::kTrial, 5s);
   ASSERT_TRUE(on_hold);
   EXPECT_EQ(on_hold->share, 0);
 }
 
-TEST_F(PlannerTest, OfFewBackEndsOneBearsTheFullLoadInBursts) {
+TEST_F(PlannerTest, OneOfFewBackendsGetsFullLoadInBursts) {
   view_.target_ready = view_.others_ready = 4;
   view_.target_sent = 50;
   const auto burst = next(RolloutPhase::kTrial, 5s);
@@ -134,10 +135,10 @@
   view_.target_sent = 240;
   const auto over_budget = next(RolloutPhase::kTrial, 5s);
   EXPECT_TRUE(!over_budget || over_budget->share < 0.2)
-      << "its part of the requests so far does not allow it";
+      << "the requests sent so far leave no budget for a burst";
 }
 
-TEST_F(PlannerTest, TheOnlyVersionThereIsServesAndIsDone) {
+TEST_F(PlannerTest, OnlyAvailableVersionSwitchesAtOnce) {
   rollout_ = make_rollout(RolloutPhase::kWaiting);
   rollout_.active_versions.clear();
   view_.others_ready = 0;
@@ -147,7 +148,7 @@
   EXPECT_EQ(step->phase, RolloutPhase::kSwitching);
 }
 
-TEST(PlannerOptionsTest, SpendLessThanOperatorsAllow) {
+TEST(PlannerOptionsTest, StayBelowTheOperatorsBounds) {
   const rollout::PlannerOptions usual = rollout::planner_options({0.1, 50});
   EXPECT_DOUBLE_EQ(usual.share, rollout::PlannerOptions{}.share);
   EXPECT_DOUBLE_EQ(usual.extra_requests, rollout::PlannerOptions{}.extra_requests);
@@ -159,7 +160,7 @@
   EXPECT_LT(strict.hold_extra_requests, 10);
 }
 
-TEST(PlannerOptionsTest, BoundsThatAreWrongBecomeFindings) {
+TEST(PlannerOptionsTest, InvalidBoundsAreReported) {
   Findings findings;
   SettingsReader reader =
       SettingsReader::load("", {"rollout_exposure_share=1.5", "rollout_exposure_slack=-1"}, findings);
--- a/tests/unit/service_rollout_test.cc
+++ b/tests/unit/service_rollout_test.cc
@@ -1,5 +1,4 @@
-/// The move of a service to another version: what the log takes, which versions routers use, and what is
-/// counted.
+/// Service rollouts: commands in the replicated state, version selection at routers, and answer counts.
 #include <gtest/gtest.h>
 
 #include "platform/names.h"
@@ -38,33 +37,33 @@
   control::StateMachine state_;
 };
 
-TEST_F(RolloutStateTest, TheSameOrderAgainIsTakenAgainAndChangesNothing) {
+TEST_F(RolloutStateTest, RepeatedOrderIsIdempotent) {
   EXPECT_EQ(order("v2"), ResultCode::kOk);
   step(RolloutPhase::kTrial, 0.07);
   const ServiceRollout before = rollout();
-  EXPECT_EQ(order("v2", 3000), ResultCode::kOk) << "its acknowledgement was lost";
+  EXPECT_EQ(order("v2", 3000), ResultCode::kOk) << "a retry after a lost acknowledgement";
   EXPECT_EQ(rollout(), before);
 }
 
-TEST_F(RolloutStateTest, AnotherVersionIsRefusedWhileOneIsUnderWay) {
+TEST_F(RolloutStateTest, ConflictingOrderIsRefusedDuringARollout) {
   EXPECT_EQ(order("v2"), ResultCode::kOk);
   EXPECT_EQ(order("v3"), ResultCode::kUnderWay);
   EXPECT_EQ(rollout().target_version, "v2");
 }
 
-TEST_F(RolloutStateTest, AVersionThatWasRolledBackMayBeOrderedAnewButNotByARepeat) {
+TEST_F(RolloutStateTest, RolledBackVersionMayBeOrderedAgainAfterTheRetryWindow) {
   order("v2", 1000);
   const uint64_t first = rollout().id;
   step(RolloutPhase::kRolledBack, 0);
   EXPECT_EQ(order("v2", 4000), ResultCode::kOk);
-  EXPECT_EQ(rollout().id, first) << "the order was repeated because its acknowledgement was lost";
+  EXPECT_EQ(rollout().id, first) << "a retry after a lost acknowledgement starts no new rollout";
   EXPECT_EQ(rollout().phase, RolloutPhase::kRolledBack);
   EXPECT_EQ(order("v2", 1000 + fleet::kRepeatedOrderWindowMs), ResultCode::kOk);
   EXPECT_GT(rollout().id, first);
   EXPECT_EQ(rollout().phase, RolloutPhase::kWaiting);
 }
 
-TEST_F(RolloutStateTest, TheActiveVersionMayBeOrderedAgainAndAnotherOneAfterIt) {
+TEST_F(RolloutStateTest, OrderingTheActiveVersionIsANoOp) {
   order("v2");
   step(RolloutPhase::kCompleted, 1);
   EXPECT_EQ(order("v2", 900000), ResultCode::kOk);
@@ -73,24 +72,25 @@
   EXPECT_EQ(rollout().phase, RolloutPhase::kWaiting);
 }
 
-TEST_F(RolloutStateTest, ServicesWithoutBackEndsAreRefused) {
+TEST_F(RolloutStateTest, ServicesWithoutBackendsAreRefused) {
   EXPECT_EQ(order("v2", 1000, "nobody"), ResultCode::kInvalid);
   EXPECT_EQ(order("v2", 1000, "store"), ResultCode::kInvalid);
 }
 
-TEST_F(RolloutStateTest, AStepFromAnEarlierStateChangesNothing) {
+TEST_F(RolloutStateTest, StaleStepIsIgnored) {
   order("v2");
   const fleet::StepServiceRollout late{"s", rollout().id, rollout().step, RolloutPhase::kTrial, 0.07, false,
                                        ""};
   step(RolloutPhase::kReturning, 0);
   state_.apply(late);
-  EXPECT_EQ(rollout().phase, RolloutPhase::kReturning) << "a former leader's step came after the new one's";
+  EXPECT_EQ(rollout().phase, RolloutPhase::kReturning)
+      << "a late step of the former leader must have no effect";
   step(RolloutPhase::kRolledBack, 0);
   step(RolloutPhase::kTrial, 0.07);
-  EXPECT_EQ(rollout().phase, RolloutPhase::kRolledBack) << "it is final";
+  EXPECT_EQ(rollout().phase, RolloutPhase::kRolledBack) << "the rollout is final";
 }
 
-TEST_F(RolloutStateTest, OutlivesARestart) {
+TEST_F(RolloutStateTest, SurvivesARestart) {
   order("v2");
   step(RolloutPhase::kSwitching, 1);
   control::StateMachine restored;
@@ -98,7 +98,7 @@
   EXPECT_EQ(restored.fleet().rollouts().at("s"), rollout());
 }
 
-TEST(RolloutBodies, ReadsAnOrderAndNamesAllThatIsWrong) {
+TEST(RolloutBodies, ParsesAnOrderAndReportsAllErrors) {
   Findings none;
   const auto order = control::read_rollout_order(R"({"service":"s","target_version":"v2","duration_s":12})",
                                                  platform::body_names(), none);
@@ -116,7 +116,7 @@
   EXPECT_FALSE(broken.empty());
 }
 
-TEST(RolloutBodies, TellsTheState) {
+TEST(RolloutBodies, ReportsTheState) {
   ServiceRollout rollout;
   rollout.target_version = "v2";
   EXPECT_EQ(control::rollout_body(rollout, platform::body_names()),
@@ -134,20 +134,20 @@
 
 using test::make_rollout;
 
-TEST(ServiceVersions, AnyVersionServesWithoutAnOrder) {
+TEST(ServiceVersions, AllVersionsRankEqualWithoutAnOrder) {
   rollout::ServiceVersions versions;
   EXPECT_EQ(versions.limits("s", false).rank("v1"), versions.limits("s", false).rank("v2"));
   EXPECT_FALSE(versions.draw("s", "r", 0, 1s));
 }
 
-TEST(ServiceVersions, AVersionThatWasTakenBackGetsNothingEvenIfItIsTheOnlyOne) {
+TEST(ServiceVersions, RolledBackVersionIsNeverUsed) {
   rollout::ServiceVersions versions;
   versions.take({make_rollout(RolloutPhase::kRolledBack)});
   EXPECT_EQ(versions.limits("s", true).rank("v2"), rollout::VersionLimits::kNever);
   EXPECT_EQ(versions.limits("s", true).rank("v1"), 0);
 }
 
-TEST(ServiceVersions, AVersionThatNoOrderNamesServesOnlyWhenNothingElseDoes) {
+TEST(ServiceVersions, UnorderedVersionIsOnlyAFallback) {
   rollout::ServiceVersions versions;
   versions.take({make_rollout(RolloutPhase::kRolledBack)});
   EXPECT_GT(versions.limits("s", false).rank("v3"), versions.limits("s", false).rank("v1"));
@@ -156,36 +156,36 @@
   EXPECT_NE(versions.limits("s", false).rank("v3"), rollout::VersionLimits::kNever);
 }
 
-TEST(ServiceVersions, OnTrialOnlyWhatWasDrawnGoesToTheNewVersion) {
+TEST(ServiceVersions, OnlySampledRequestsGoToAVersionOnTrial) {
   rollout::ServiceVersions versions;
   versions.take({make_rollout(RolloutPhase::kTrial)});
   versions.confirm(10s);
   EXPECT_EQ(versions.limits("s", false).rank("v2"), rollout::VersionLimits::kNever)
-      << "also when all of the others have crashed: the bound on what it gets is the fleet's";
+      << "even if all other backends have crashed: the fleet-wide exposure bound still applies";
   EXPECT_EQ(versions.limits("s", true).rank("v2"), 0);
   EXPECT_NE(versions.limits("s", true).rank("v1"), rollout::VersionLimits::kNever);
   EXPECT_TRUE(versions.draw("s", "r", 0.01, 10s));
   EXPECT_FALSE(versions.draw("s", "r", 0.99, 10s));
 }
 
-TEST(ServiceVersions, ARouterOutOfTouchGivesAVersionOnTrialNothing) {
+TEST(ServiceVersions, RouterWithoutConfirmationSendsNothingToAVersionOnTrial) {
   rollout::ServiceVersions versions;
   versions.take({make_rollout(RolloutPhase::kTrial)});
   versions.confirm(10s);
   EXPECT_TRUE(versions.draw("s", "r", 0.01, 11s));
-  EXPECT_FALSE(versions.draw("s", "r", 0.01, 13s)) << "it may have been taken back";
+  EXPECT_FALSE(versions.draw("s", "r", 0.01, 13s)) << "the version may have been rolled back";
   versions.confirm(13s);
   EXPECT_TRUE(versions.draw("s", "r", 0.01, 13s));
 }
 
-TEST(ServiceVersions, AnOlderStepThatComesLateChangesNothing) {
+TEST(ServiceVersions, LateOlderStepIsIgnored) {
   rollout::ServiceVersions versions;
   EXPECT_TRUE(versions.take({make_rollout(RolloutPhase::kReturning, 3)}));
   EXPECT_FALSE(versions.take({make_rollout(RolloutPhase::kTrial, 2)}));
   EXPECT_EQ(versions.find("s")->phase, RolloutPhase::kReturning);
 }
 
-TEST(ServiceVersions, TheSharesOfAllRoutesAddUpToTheShare) {
+TEST(ServiceVersions, RouteSharesAverageToTheTotalShare) {
   const std::vector<std::vector<double>> mixes = {{1}, {0.5, 0.5}, {0.94, 0.05, 0.01}, {0.999, 0.001}};
   for (const auto& mix : mixes) {
     double sum = 0;
@@ -193,11 +193,12 @@
       sum += part * rollout::share_of_route(0.07, part, mix.size());
     }
     EXPECT_LE(sum, 0.07 + 1e-9);
-    EXPECT_GT(rollout::share_of_route(0.07, mix.back(), mix.size()), 0.0699) << "rare routes are seen too";
+    EXPECT_GT(rollout::share_of_route(0.07, mix.back(), mix.size()), 0.0699)
+        << "rare routes must be tested as well";
   }
 }
 
-TEST(ServiceVersions, TheSampleIsTheSameAtAllRoutersAndBearsTheLoadOfTheWhole) {
+TEST(ServiceVersions, SampleIsTheSameAtAllRoutersAndSizedForFullLoad) {
   std::vector<std::string> ids;
   ids.reserve(45);
   for (int index = 0; index < 45; ++index) {
@@ -215,7 +216,7 @@
 
 fleet::AnswerKey key_of(bool target, const std::string& engine = "") { return {5, target, engine, "r", 0}; }
 
-TEST(AnswerCounts, ASendThatNeverArrivedIsNoneOfTheOthersAndALeftAnswerIsSlowOnlyWhenItWas) {
+TEST(AnswerCounts, IgnoresRejectedRequestsAndTimesAbandonedOnesOnlyBeyondTheObjective) {
   rollout::AnswerCounter counter;
   rollout::CountedSend send;
   send.key = key_of(false);
@@ -259,23 +260,23 @@
   rollout::AnswerBook book_;
 };
 
-TEST_F(AnswerBookTest, ALaterMessageMakesUpForALostOne) {
+TEST_F(AnswerBookTest, LaterMessageMakesUpForALostOne) {
   book_.on_router(loads(1, true, 0));
   book_.on_router(loads(1, false, 2));
-  book_.on_router(loads(1, false, 9));  // the one with 5 was lost
+  book_.on_router(loads(1, false, 9));  // the message with count 5 was lost
   EXPECT_EQ(total(book_), 9U);
-  book_.on_router(loads(1, true, 9));  // its feed begins anew
+  book_.on_router(loads(1, true, 9));  // its feed restarts
   EXPECT_EQ(total(book_), 9U);
 }
 
-TEST_F(AnswerBookTest, ARouterThatComesFromAnotherMemberIsNotCountedTwice) {
-  book_.on_member("m2", 7, {count(10)});  // that member counted them
+TEST_F(AnswerBookTest, RouterFromAnotherMemberIsNotCountedTwice) {
+  book_.on_member("m2", 7, {count(10)});  // m2 has counted these already
   book_.on_router(loads(1, true, 10));
   book_.on_router(loads(1, false, 12));
   EXPECT_EQ(total(book_), 12U);
 }
 
-TEST_F(AnswerBookTest, AMemberOrRouterThatRestartsBeginsAtNothing) {
+TEST_F(AnswerBookTest, RestartedMemberOrRouterCountsFromZero) {
   book_.on_member("m2", 7, {count(10)});
   book_.on_member("m2", 8, {count(3)});
   EXPECT_EQ(total(book_), 13U);
@@ -286,13 +287,13 @@
   EXPECT_EQ(total(book_), 18U);
 }
 
-TEST_F(AnswerBookTest, CountsOfAnOrderThatIsDoneAreDropped) {
+TEST_F(AnswerBookTest, CountsOfFinishedRolloutsAreRemoved) {
   book_.on_member("m2", 7, {count(10)});
   book_.keep({});
   EXPECT_TRUE(book_.totals().empty());
 }
 
-TEST(RouterConfirmations, EveryRouterThatMayServeMustKeepToTheStep) {
+TEST(RouterConfirmations, EveryServingRouterMustApplyTheStep) {
   rollout::RouterConfirmations confirmations(5s);
   confirmations.note("r1", {{5, 3, 0, 2}}, 10s);
   confirmations.note("r2", {{5, 2, 4, 0}}, 10s);
@@ -301,16 +302,17 @@
   EXPECT_TRUE(confirmations.word_on(5, 3, 10s).all_applied);
   EXPECT_EQ(confirmations.word_on(5, 3, 10s).others_running, 1U);
   confirmations.note("r3", {}, 10s);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 10s).all_applied) << "one that has just started";
+  EXPECT_FALSE(confirmations.word_on(5, 3, 10s).all_applied) << "r3 has just started and has applied nothing";
 }
 
-TEST(RouterConfirmations, ARouterThatIsGoneOrHonoursNoKeysAnyMoreIsNotWaitedFor) {
+TEST(RouterConfirmations, EndedOrIsolatedRoutersAreIgnored) {
   rollout::RouterConfirmations confirmations(5s);
   confirmations.note("r1", {{5, 2, 4, 0}}, 10s);
   confirmations.note("r2", {{5, 2, 4, 0}}, 14s);
   confirmations.note_closed("r2", 14s);
   EXPECT_FALSE(confirmations.word_on(5, 3, 14500ms).all_applied);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 14900ms).all_applied) << "r1 is out of touch but may serve";
+  EXPECT_FALSE(confirmations.word_on(5, 3, 14900ms).all_applied)
+      << "r1 is out of contact but may still serve";
   EXPECT_TRUE(confirmations.word_on(5, 3, 15500ms).all_applied);
 }
 
