--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -10,10 +10,10 @@
 
 constexpr double kFirstBucketMs = 2;
 constexpr double kBucketsPerDoubling = 2;
-/// From so many tokens on, reading is of the next class.
-constexpr uint64_t kReadingSteps[] = {512, 2048, 8192};
-/// From such parts of the slots on, the load is of the next class.
-constexpr double kLoadSteps[] = {0.5, 1.0};
+/// Lower bounds of the prefill classes, in tokens.
+constexpr uint64_t kPrefillThresholds[] = {512, 2048, 8192};
+/// Lower bounds of the load classes, as fractions of the slots in use.
+constexpr double kLoadThresholds[] = {0.5, 1.0};
 
 }  // namespace
 
@@ -26,21 +26,21 @@
   return std::min(kTimeBuckets - 1, static_cast<size_t>(bucket));
 }
 
-uint8_t condition_of(uint64_t tokens_to_read, uint32_t outstanding, uint32_t slots) {
-  int reading = 0;
-  for (const uint64_t step : kReadingSteps) {
-    reading += tokens_to_read >= step ? 1 : 0;
+uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots) {
+  int prefill_class = 0;
+  for (const uint64_t threshold : kPrefillThresholds) {
+    prefill_class += prefill_tokens >= threshold ? 1 : 0;
   }
-  const double taken = static_cast<double>(outstanding) / std::max<uint32_t>(1, slots);
-  int load = 0;
-  for (const double step : kLoadSteps) {
-    load += taken >= step ? 1 : 0;
+  const double slot_utilization = static_cast<double>(outstanding) / std::max<uint32_t>(1, slots);
+  int load_class = 0;
+  for (const double threshold : kLoadThresholds) {
+    load_class += slot_utilization >= threshold ? 1 : 0;
   }
-  return static_cast<uint8_t>(reading * kLoadClasses + load);
+  return static_cast<uint8_t>(prefill_class * kLoadClasses + load_class);
 }
 
-bool no_easier(uint8_t condition, uint8_t than) {
-  return condition / kLoadClasses >= than / kLoadClasses && condition % kLoadClasses >= than % kLoadClasses;
+bool is_at_least_as_hard(uint8_t condition, uint8_t base) {
+  return condition / kLoadClasses >= base / kLoadClasses && condition % kLoadClasses >= base % kLoadClasses;
 }
 
 fleet::AnswerSums& AnswerCounter::sums_of(const fleet::AnswerKey& key) {
@@ -52,8 +52,8 @@
 
 void AnswerCounter::begin(CountedSend& send, TimePoint now) {
   send.sent_at = now;
-  // Sends to the target version count at once and the others when they have ended, so that the share that the
-  // target version got is never taken to be smaller than it is.
+  // Requests to the target version are counted when sent and the others when they end, so that the target
+  // version's share is never underestimated.
   if (send.key.target) {
     ++sums_of(send.key).sent;
   }
@@ -85,7 +85,8 @@
       ++sums_of(send.key).broken;
       break;
     case SendEnd::kAbandoned:
-      // Callers leave fast answers as well; one that has waited in vain for so long has seen a slow one.
+      // Callers also abandon fast answers. The answer counts as slow only if the caller waited for longer
+      // than the objective.
       if (now - send.sent_at > send.objective) {
         first_event(send, now);
       }
@@ -96,9 +97,9 @@
 }
 
 void AnswerCounter::keep(const std::set<uint64_t>& rollouts) {
-  const auto other = [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; };
-  std::erase_if(counts_, [&](const auto& entry) { return other(entry.first); });
-  std::erase_if(changed_, other);
+  const auto is_finished = [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; };
+  std::erase_if(counts_, [&](const auto& entry) { return is_finished(entry.first); });
+  std::erase_if(changed_, is_finished);
 }
 
 std::vector<fleet::AnswerCount> AnswerCounter::take_changes() {
--- a/src/topology/topology.cc
+++ b/src/topology/topology.cc
@@ -40,8 +40,8 @@
 
 std::vector<std::string> Topology::zones_of(const std::string& region) const {
   std::vector<std::string> zones;
-  for (const auto& [zone, its_region] : regions_) {
-    if (its_region == region) {
+  for (const auto& [zone, zone_region] : regions_) {
+    if (zone_region == region) {
       zones.push_back(zone);
     }
   }
@@ -64,7 +64,7 @@
     }
     const std::string zone = entry.substr(slash + 1);
     if (!regions.emplace(zone, entry.substr(0, slash)).second) {
-      settings.add_finding(kKey, "zone \"" + zone + "\" stands twice");
+      settings.add_finding(kKey, "zone \"" + zone + "\" is listed more than once");
     }
   }
   return Topology(std::move(regions));
--- a/tests/unit/replica_regions_test.cc
+++ b/tests/unit/replica_regions_test.cc
@@ -1,4 +1,5 @@
-// The replicated log over two regions: three members in one, two in the other, 20 ms one way between them.
+// The replicated log across two regions: three members in one, two in the other, 20 ms one-way delay between
+// them.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -11,14 +12,16 @@
 namespace {
 
 constexpr Duration kStep = 1ms;
-constexpr Duration kWay = 20ms;        ///< between regions
-constexpr Duration kResend = 250ms;    ///< until a lost packet is sent again
-constexpr MemberId kLastOfLarger = 3;  ///< members 1 to 3 share a region, 4 and 5 the other
+constexpr Duration kInterRegionDelay = 20ms;  ///< one way
+constexpr Duration kRetransmitDelay = 250ms;  ///< until a lost packet is retransmitted
+constexpr MemberId kLastOfLargerRegion = 3;   ///< members 1 to 3 share a region, 4 and 5 the other
 constexpr MemberId kMembers = 5;
 
-bool crosses(MemberId from, MemberId to) { return (from <= kLastOfLarger) != (to <= kLastOfLarger); }
+bool crosses(MemberId from, MemberId to) {
+  return (from <= kLastOfLargerRegion) != (to <= kLastOfLargerRegion);
+}
 
-/// Five replicas with connections that keep the order of their messages. Disks take no time.
+/// Five replicas connected by links that keep messages in order. Disk writes take no time.
 class TwoRegionsLogTest : public ::testing::Test {
  protected:
   TwoRegionsLogTest() {
@@ -49,7 +52,7 @@
       deliver();
     }
   }
-  /// Lets only this member stand for election until it leads.
+  /// Lets only this member start elections, for 2 s. Returns true when it is the leader afterwards.
   bool elect(MemberId id) {
     only_candidate_ = id;
     run(2s);
@@ -57,7 +60,7 @@
     run(500ms);
     return leader_id() == id;
   }
-  /// The member with the highest term that leads; 0: none.
+  /// The leader with the highest term; 0: none.
   MemberId leader_id() const {
     MemberId leader = 0;
     for (const auto& [id, replica] : replicas_) {
@@ -70,12 +73,12 @@
   Replica& member(MemberId id) { return replicas_.at(id); }
 
   TimePoint now_{1s};
-  std::set<std::pair<MemberId, MemberId>> cut_;  ///< from, to
-  std::map<std::pair<MemberId, MemberId>, TimePoint> held_until_;
+  std::set<std::pair<MemberId, MemberId>> cut_links_;  ///< from, to
+  std::map<std::pair<MemberId, MemberId>, TimePoint> delayed_until_;
 
  private:
-  struct Sent {
-    TimePoint arrives{0};
+  struct QueuedMessage {
+    TimePoint arrives_at{0};
     Message message;
   };
   void drive(Replica& replica) {
@@ -89,16 +92,16 @@
   void send(const std::vector<Message>& messages) {
     for (const Message& message : messages) {
       const auto link = std::make_pair(message.from, message.to);
-      const Duration way = crosses(message.from, message.to) ? kWay : kStep;
-      links_[link].push_back({std::max(now_ + way, held_until_[link]), message});
+      const Duration delay = crosses(message.from, message.to) ? kInterRegionDelay : kStep;
+      links_[link].push_back({std::max(now_ + delay, delayed_until_[link]), message});
     }
   }
   void deliver() {
     for (auto& [link, queue] : links_) {
-      if (cut_.count(link) > 0) {
+      if (cut_links_.count(link) > 0) {
         queue.clear();
       }
-      while (!queue.empty() && queue.front().arrives <= now_) {
+      while (!queue.empty() && queue.front().arrives_at <= now_) {
         const Message message = queue.front().message;
         queue.pop_front();
         replicas_.at(message.to).receive(message, now_);
@@ -108,64 +111,64 @@
 
   MemberId only_candidate_ = 0;
   std::map<MemberId, Replica> replicas_;
-  std::map<std::pair<MemberId, MemberId>, std::deque<Sent>> links_;
+  std::map<std::pair<MemberId, MemberId>, std::deque<QueuedMessage>> links_;
 };
 
-TEST_F(TwoRegionsLogTest, ACommandOfTheLeaderInTheSmallerRegionIsCommittedAfterOneWayThereAndBack) {
+TEST_F(TwoRegionsLogTest, LeaderInTheSmallerRegionCommitsAfterOneRoundTrip) {
   ASSERT_TRUE(elect(5));
   const uint64_t index = member(5).propose("command", now_);
-  run(2 * kWay + 10ms);
+  run(2 * kInterRegionDelay + 10ms);
   EXPECT_GE(member(5).commit_index(), index);
 }
 
-TEST_F(TwoRegionsLogTest, LostPacketsTowardsTheOtherRegionUnseatNoLeader) {
+TEST_F(TwoRegionsLogTest, PacketLossBetweenRegionsDoesNotDeposeTheLeader) {
   ASSERT_TRUE(elect(5));
   const uint64_t term = member(5).term();
   for (int round = 0; round < 20; ++round) {
-    // One connection after the other: what follows a lost packet waits until it was sent again.
-    held_until_[{5, 1 + round % kLastOfLarger}] = now_ + kResend + kWay;
+    // One link after the other: messages behind a lost packet wait for its retransmission.
+    delayed_until_[{5, 1 + round % kLastOfLargerRegion}] = now_ + kRetransmitDelay + kInterRegionDelay;
     run(500ms);
     EXPECT_TRUE(member(5).leads()) << round;
   }
   EXPECT_EQ(member(5).term(), term);
 }
 
-TEST_F(TwoRegionsLogTest, TheLargerSideGoesOnWhenTheRegionsAreCutAndTheSmallerCommitsNothing) {
+TEST_F(TwoRegionsLogTest, OnlyTheLargerRegionCommitsDuringAPartition) {
   ASSERT_TRUE(elect(5));
   for (MemberId from = 1; from <= kMembers; ++from) {
     for (MemberId to = 1; to <= kMembers; ++to) {
       if (crosses(from, to)) {
-        cut_.insert({from, to});
+        cut_links_.insert({from, to});
       }
     }
   }
-  const uint64_t lost = member(5).propose("not confirmed", now_);
+  const uint64_t uncommitted = member(5).propose("not confirmed", now_);
   run(1500ms);
   const MemberId leader = leader_id();
   ASSERT_GE(leader, 1U);
-  EXPECT_LE(leader, kLastOfLarger);
-  EXPECT_FALSE(member(5).leads()) << "it would take commands that it can't commit";
-  EXPECT_LT(member(5).commit_index(), lost);
+  EXPECT_LE(leader, kLastOfLargerRegion);
+  EXPECT_FALSE(member(5).leads()) << "it would accept commands that it cannot commit";
+  EXPECT_LT(member(5).commit_index(), uncommitted);
   const uint64_t index = member(leader).propose("command", now_);
   run(50ms);
   EXPECT_GE(member(leader).commit_index(), index);
-  cut_.clear();
+  cut_links_.clear();
   run(1s);
-  EXPECT_EQ(leader_id(), leader) << "those who come back unseat nobody";
+  EXPECT_EQ(leader_id(), leader) << "members that rejoin must not depose the leader";
   EXPECT_GE(member(5).commit_index(), index);
 }
 
-TEST_F(TwoRegionsLogTest, ACutInOneDirectionLeavesOneLeaderThatCommits) {
+TEST_F(TwoRegionsLogTest, OneWayPartitionLeavesOneLeaderThatCommits) {
   ASSERT_TRUE(elect(5));
-  for (MemberId from = kLastOfLarger + 1; from <= kMembers; ++from) {
-    for (MemberId to = 1; to <= kLastOfLarger; ++to) {
-      cut_.insert({from, to});
+  for (MemberId from = kLastOfLargerRegion + 1; from <= kMembers; ++from) {
+    for (MemberId to = 1; to <= kLastOfLargerRegion; ++to) {
+      cut_links_.insert({from, to});
     }
   }
   run(2s);
   const MemberId leader = leader_id();
   ASSERT_GE(leader, 1U);
-  EXPECT_LE(leader, kLastOfLarger);
+  EXPECT_LE(leader, kLastOfLargerRegion);
   EXPECT_FALSE(member(5).leads());
   const uint64_t index = member(leader).propose("command", now_);
   run(50ms);
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -1,4 +1,4 @@
-/// The planner's steps of a service's move to another version, also when something fails halfway.
+/// The planner's steps of a service rollout, including failures in every phase.
 #include "src/rollout/rollout_planner.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     view_.age = age;
     return rollout::next_step(view_, options_);
   }
-  bool leads_to(RolloutPhase phase, Duration age, RolloutPhase expected) {
+  bool next_phase_is(RolloutPhase phase, Duration age, RolloutPhase expected) {
     const auto step = next(phase, age);
     return step && step->phase == expected;
   }
@@ -40,7 +40,7 @@
   rollout::PlannerOptions options_;
 };
 
-TEST_F(PlannerTest, WaitsForBackEndsThenTriesThenSwitches) {
+TEST_F(PlannerTest, WaitsForBackendsThenStartsTheTrialThenSwitches) {
   view_.target_ready = 0;
   EXPECT_FALSE(next(RolloutPhase::kWaiting, 1s));
   view_.target_ready = 45;
@@ -49,11 +49,11 @@
   EXPECT_EQ(trial->phase, RolloutPhase::kTrial);
   EXPECT_GT(trial->share, 0.05);
   EXPECT_LT(trial->share, 0.09);
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "it is on trial as long as it can be";
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 8s, RolloutPhase::kSwitching));
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "the trial should last as long as possible";
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 8s, RolloutPhase::kSwitching));
 }
 
-TEST_F(PlannerTest, CompletesOnlyWhenAllRoutersHaveLeftTheOthersAndNothingRunsThere) {
+TEST_F(PlannerTest, CompletesOnlyWhenNoRouterUsesOtherVersions) {
   view_.in_step = 1500ms;
   view_.all_applied = false;
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 10s));
@@ -61,82 +61,84 @@
   view_.others_running = 1;
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 10s));
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 13s))
-      << "its runs would be cut off; the deadline is missed instead";
+      << "completion would cut off running requests; missing the deadline is preferred";
   view_.others_running = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 10s, RolloutPhase::kCompleted));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 10s, RolloutPhase::kCompleted));
 }
 
-TEST_F(PlannerTest, ABadVersionGoesBackAlsoFromTheSwitch) {
+TEST_F(PlannerTest, BadVersionIsRolledBackFromTrialAndSwitch) {
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
   view_.all_applied = false;
   EXPECT_FALSE(next(RolloutPhase::kReturning, 4s));
   view_.all_applied = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
 }
 
-TEST_F(PlannerTest, BackEndsThatNeverComeOrAreTooFewGoBackBeforeTheDeadline) {
+TEST_F(PlannerTest, RollsBackBeforeTheDeadlineWithTooFewBackends) {
   view_.target_ready = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
   view_.target_ready = 3;
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more may come";
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more backends may become available";
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, AVersionThatWasNotSeenOrIsInDoubtGoesBack) {
+TEST_F(PlannerTest, RollsBackWithTooFewAnswersOrInDoubt) {
   view_.judgement.answers = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
   view_.judgement.answers = 200;
   view_.judgement.doubt = 0.7;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, WhenAllOthersHaveGoneAVersionThatWasSeenTakesOver) {
+TEST_F(PlannerTest, TestedVersionTakesOverWhenAllOthersAreGone) {
   view_.others_ready = 0;
   view_.others_gone = 200ms;
-  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "they may be back at once";
+  EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "the other backends may return at once";
   view_.others_gone = 2s;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning)) << "a bad one does not";
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning))
+      << "a bad version must not take over";
 }
 
-TEST_F(PlannerTest, AServiceThatTheConfigurationDropsGoesBack) {
+TEST_F(PlannerTest, RollsBackWhenTheServiceIsRemoved) {
   view_.service_known = false;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
 }
 
-TEST_F(PlannerTest, ALeaderThatComesAfterTheDeadlineEndsIt) {
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
+TEST_F(PlannerTest, LeaderElectedAfterTheDeadlineEndsTheRollout) {
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
   view_.judgement.answers = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
   view_.all_applied = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
 }
 
-TEST_F(PlannerTest, AVersionThatHasHadItsShareIsHeld) {
+TEST_F(PlannerTest, HoldsAVersionThatHasUsedItsShare) {
   view_.target_sent = 0.09 * view_.all_sent + 40;
-  const auto held = next(RolloutPhase::kTrial, 5s);
-  ASSERT_TRUE(held);
-  EXPECT_EQ(held->share, 0);
+  const auto on_hold = next(RolloutPhase::kTrial, 5s);
+  ASSERT_TRUE(on_hold);
+  EXPECT_EQ(on_hold->share, 0);
 }
 
-TEST_F(PlannerTest, OfFewBackEndsOneBearsTheFullLoadInBursts) {
+TEST_F(PlannerTest, OneOfFewBackendsGetsFullLoadInBursts) {
   view_.target_ready = view_.others_ready = 4;
   view_.target_sent = 50;
   const auto burst = next(RolloutPhase::kTrial, 5s);
   ASSERT_TRUE(burst);
   EXPECT_DOUBLE_EQ(burst->share, 0.25);
   view_.target_sent = 240;
-  const auto unearned = next(RolloutPhase::kTrial, 5s);
-  EXPECT_TRUE(!unearned || unearned->share < 0.2) << "its part of the requests so far does not allow it";
+  const auto over_budget = next(RolloutPhase::kTrial, 5s);
+  EXPECT_TRUE(!over_budget || over_budget->share < 0.2)
+      << "the requests sent so far leave no budget for a burst";
 }
 
-TEST_F(PlannerTest, TheOnlyVersionThereIsServesAndIsDone) {
+TEST_F(PlannerTest, OnlyAvailableVersionSwitchesAtOnce) {
   rollout_ = make_rollout(RolloutPhase::kWaiting);
   rollout_.active_versions.clear();
   view_.others_ready = 0;
@@ -146,19 +148,19 @@
   EXPECT_EQ(step->phase, RolloutPhase::kSwitching);
 }
 
-TEST(PlannerOptionsTest, SpendLessThanOperatorsAllow) {
+TEST(PlannerOptionsTest, StayBelowTheOperatorsBounds) {
   const rollout::PlannerOptions usual = rollout::planner_options({0.1, 50});
   EXPECT_DOUBLE_EQ(usual.share, rollout::PlannerOptions{}.share);
-  EXPECT_DOUBLE_EQ(usual.extra, rollout::PlannerOptions{}.extra);
+  EXPECT_DOUBLE_EQ(usual.extra_requests, rollout::PlannerOptions{}.extra_requests);
   EXPECT_DOUBLE_EQ(usual.hold_share, rollout::PlannerOptions{}.hold_share);
-  EXPECT_DOUBLE_EQ(usual.hold_extra, rollout::PlannerOptions{}.hold_extra);
+  EXPECT_DOUBLE_EQ(usual.hold_extra_requests, rollout::PlannerOptions{}.hold_extra_requests);
   const rollout::PlannerOptions strict = rollout::planner_options({0.02, 10});
   EXPECT_LT(strict.share, strict.hold_share);
   EXPECT_LT(strict.hold_share, 0.02);
-  EXPECT_LT(strict.hold_extra, 10);
+  EXPECT_LT(strict.hold_extra_requests, 10);
 }
 
-TEST(PlannerOptionsTest, BoundsThatAreWrongBecomeFindings) {
+TEST(PlannerOptionsTest, InvalidBoundsAreReported) {
   Findings findings;
   SettingsReader reader =
       SettingsReader::load("", {"rollout_exposure_share=1.5", "rollout_exposure_slack=-1"}, findings);
