--- a/src/admission/backend_limits.cc
+++ b/src/admission/backend_limits.cc
@@ -139,8 +139,8 @@
   return std::max<uint32_t>(1, static_cast<uint32_t>(usable));
 }
 
-fleet::PermitQuestion BackendLimits::take_question(TimePoint now) {
-  fleet::PermitQuestion question;
+fleet::PermitRequest BackendLimits::take_question(TimePoint now) {
+  fleet::PermitRequest question;
   question.number = last_request_number_ + 1;
   for (auto& [backend, limited] : limited_backends_) {
     if (!permit_request_due(limited, now)) {
@@ -155,7 +155,7 @@
   return question;
 }
 
-void BackendLimits::apply_terms(LimitedBackend& limited, const fleet::PermitTerms& terms, TimePoint now) {
+void BackendLimits::apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now) {
   const Duration wait = Duration(1000 * std::max<int64_t>(0, terms.wait_ms));
   limited.denied = terms.count == 0;
   if (limited.denied) {
@@ -169,8 +169,8 @@
   limited.usable_until = limited.requested_at + wait + kPermitLifetime;
 }
 
-void BackendLimits::on_answer(const fleet::PermitAnswer& answer, TimePoint now) {
-  for (const fleet::PermitTerms& terms : answer.terms) {
+void BackendLimits::on_answer(const fleet::PermitResponse& answer, TimePoint now) {
+  for (const fleet::GrantedPermits& terms : answer.terms) {
     const auto known = limited_backends_.find(terms.backend);
     if (known != limited_backends_.end() && known->second.pending_request == answer.number) {
       known->second.pending_request = 0;
--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -67,9 +67,9 @@
   std::optional<TimePoint> next_chance(const std::string& backend, TimePoint now) const;
   /// Builds the permit request to send to the control plane now. Its list of wishes is empty if no permits
   /// are needed.
-  fleet::PermitQuestion take_question(TimePoint now);
+  fleet::PermitRequest take_question(TimePoint now);
   /// Applies the answer to a permit request. Answers to requests that are no longer pending are ignored.
-  void on_answer(const fleet::PermitAnswer& answer, TimePoint now);
+  void on_answer(const fleet::PermitResponse& answer, TimePoint now);
 
   /// Returns whether there are limit changes that the control plane has not been sent.
   bool has_untold() const { return !unreported_.empty(); }
@@ -101,7 +101,7 @@
   /// since the last permit request.
   static uint32_t usable_permits(const LimitedBackend& limited, TimePoint now);
   bool permit_request_due(const LimitedBackend& limited, TimePoint now) const;
-  void apply_terms(LimitedBackend& limited, const fleet::PermitTerms& terms, TimePoint now);
+  void apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now);
 
   std::map<std::string, LimitedBackend> limited_backends_;  ///< by backend ID
   std::map<std::string, double> unreported_;  ///< changes not yet sent to the control plane, by backend
--- a/src/admission/crash_book.cc
+++ b/src/admission/crash_book.cc
@@ -40,11 +40,11 @@
   return "unknown";
 }
 
-CrashBook::Evidence CrashBook::evidence_of(const fleet::CrashNotice& notice) {
+CrashBook::Evidence CrashBook::evidence_of(const fleet::CrashReport& notice) {
   if (notice.unconfirmed) {
-    return notice.acquitted ? Evidence::kSurvived : Evidence::kUnconfirmed;
+    return notice.dismissed ? Evidence::kSurvived : Evidence::kUnconfirmed;
   }
-  return notice.acquitted ? Evidence::kCleared : Evidence::kCrashed;
+  return notice.dismissed ? Evidence::kCleared : Evidence::kCrashed;
 }
 
 bool CrashBook::merge_crash(Entry& entry, const std::string& backend, const Crash& crash) {
@@ -155,7 +155,7 @@
     return false;
   }
   bool any_changed = false;
-  for (const fleet::CrashNotice& reported : record.crashes) {
+  for (const fleet::CrashReport& reported : record.crashes) {
     const TimePoint observed_at = now - Duration(1000 * std::max<int64_t>(0, reported.age_ms));
     any_changed = merge_crash(*entry, reported.backend, {observed_at, evidence_of(reported)}) || any_changed;
   }
--- a/src/admission/crash_book.h
+++ b/src/admission/crash_book.h
@@ -111,7 +111,7 @@
     TimePoint last_unconfirmed{0};
     uint32_t total() const { return confirmed + unconfirmed; }
   };
-  static Evidence evidence_of(const fleet::CrashNotice& notice);
+  static Evidence evidence_of(const fleet::CrashReport& notice);
   /// Adds a crash, or merges its evidence into a known one. Returns true if this changes anything.
   static bool merge_crash(Entry& entry, const std::string& backend, const Crash& crash);
   static CrashCount count_crashes(const Entry& entry, TimePoint now);
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -24,7 +24,7 @@
   size_t max_append_entries = 1024;
   size_t max_append_bytes = 1U << 20U;
   size_t max_inflight_appends = 16;
-  size_t snapshot_piece_bytes = 256U << 10U;
+  size_t snapshot_chunk_bytes = 256U << 10U;
 };
 
 /// State read from disk at start-up.
@@ -110,7 +110,7 @@
   /// Leader only: the highest index up to which a member's log is known to match.
   uint64_t match_of(MemberId member) const;
   /// Leader only: when a member last responded.
-  TimePoint last_answer_of(MemberId member) const;
+  TimePoint last_response_of(MemberId member) const;
   /// True on a leader that has committed an entry of its own term, so that its commit index covers everything
   /// that earlier leaders acknowledged.
   bool term_committed() const { return leads() && commit_ >= term_start_index_; }
--- a/src/control/cache_mirror.cc
+++ b/src/control/cache_mirror.cc
@@ -28,14 +28,14 @@
   if (changes.anew) {
     remove_parts(changes.holder, cache);
   }
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  for (const fleet::CachedPart& holding : changes.holdings) {
     set_holding(changes.holder, cache, holding);
   }
   statuses_.set(changes.holder, {changes.store, changes.followed});
   return true;
 }
 
-void CacheMirror::set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding) {
+void CacheMirror::set_holding(const std::string& holder, Cache& cache, const fleet::CachedPart& holding) {
   const auto known = cache.parts.find(holding.part);
   if (known != cache.parts.end() && holding.weights < known->second.weights) {
     return;  // a store drops parts of old weights long after it received those of new weights
@@ -113,7 +113,7 @@
     return false;
   }
   return std::all_of(placement.links.begin(), placement.links.end(), [&](uint64_t part) {
-    const fleet::PartHolding* held = shared_holdings_.find({placement.holder, part});
+    const fleet::CachedPart* held = shared_holdings_.find({placement.holder, part});
     return held != nullptr && held->weights >= placement.weights;
   });
 }
--- a/src/control/cache_mirror.h
+++ b/src/control/cache_mirror.h
@@ -46,7 +46,7 @@
     bool followed = false;
     uint64_t epoch = 0;       ///< changes when the cache restarts
     uint64_t next_event = 0;  ///< the event to read next
-    std::unordered_map<uint64_t, fleet::PartHolding> parts;
+    std::unordered_map<uint64_t, fleet::CachedPart> parts;
   };
 
   /// `self`: internal address of this member.
@@ -77,12 +77,12 @@
   std::vector<uint64_t> shared_parts() const { return {shared_parts_.begin(), shared_parts_.end()}; }
 
   const fleet::RevisionTable<std::string, CacheHead>& heads() const { return statuses_; }
-  const fleet::RevisionTable<HeldPart, fleet::PartHolding>& shared_holdings() const {
+  const fleet::RevisionTable<HeldPart, fleet::CachedPart>& shared_holdings() const {
     return shared_holdings_;
   }
 
  private:
-  void set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding);
+  void set_holding(const std::string& holder, Cache& cache, const fleet::CachedPart& holding);
   void remove_parts(const std::string& holder, Cache& cache);
   void reset_shared_parts();
   void remove_unshared_holder(const std::string& holder, uint64_t part);
@@ -94,7 +94,7 @@
   /// without searching thousands of caches.
   std::unordered_map<uint64_t, std::set<std::string>> unshared_holders_;
   fleet::RevisionTable<std::string, CacheHead> statuses_;
-  fleet::RevisionTable<HeldPart, fleet::PartHolding> shared_holdings_;
+  fleet::RevisionTable<HeldPart, fleet::CachedPart> shared_holdings_;
 };
 
 }  // namespace stoat::control
--- a/src/control/cache_watch.cc
+++ b/src/control/cache_watch.cc
@@ -24,8 +24,8 @@
 /// contents, parts that are no longer held are omitted.
 void compact(fleet::CacheChanges& changes) {
   std::unordered_map<uint64_t, size_t> newest;  // index into `holdings`, by part
-  std::vector<fleet::PartHolding> holdings;
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  std::vector<fleet::CachedPart> holdings;
+  for (const fleet::CachedPart& holding : changes.holdings) {
     const auto [known, added] = newest.emplace(holding.part, holdings.size());
     if (!added && holdings[known->second].weights <= holding.weights) {
       holdings[known->second] = holding;
@@ -35,7 +35,7 @@
     holdings.push_back(holding);
   }
   if (changes.anew) {
-    std::erase_if(holdings, [](const fleet::PartHolding& holding) { return holding.tokens == 0; });
+    std::erase_if(holdings, [](const fleet::CachedPart& holding) { return holding.tokens == 0; });
   }
   changes.holdings = std::move(holdings);
 }
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -50,16 +50,16 @@
   }
   /// The requests that are reported to routers, by fingerprint, with the known crashes of each; their ages
   /// are zero.
-  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>>& told() const { return suspects_; }
+  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>>& told() const { return suspects_; }
 
  private:
   bool merge_record(const fleet::CrashRecord& record, TimePoint now) {
     if (!crash_book_.merge(record, now)) {
       return false;
     }
-    std::vector<fleet::CrashNotice> notices = crash_book_.record(record.request, now).crashes;
+    std::vector<fleet::CrashReport> notices = crash_book_.record(record.request, now).crashes;
     if (notices.size() >= admission::kSuspectCrashes) {
-      for (fleet::CrashNotice& notice : notices) {
+      for (fleet::CrashReport& notice : notices) {
         notice.age_ms = 0;  // a change of the age alone must not create a new revision
       }
       suspects_.set(record.request, notices);
@@ -68,7 +68,7 @@
   }
 
   admission::CrashBook crash_book_;
-  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>> suspects_;
+  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>> suspects_;
   std::set<uint64_t> changed_;
 };
 
--- a/src/control/engine_orders.h
+++ b/src/control/engine_orders.h
@@ -25,10 +25,10 @@
 
 /// A cache's answer to a poll for events.
 struct CacheEvents {
-  uint64_t epoch = 0;                        ///< changes when the cache restarts, which empties it
-  uint64_t next_event = 0;                   ///< `since` of the next poll
-  bool gap = false;                          ///< events before these are no longer available
-  std::vector<fleet::PartHolding> holdings;  ///< in the order of the events
+  uint64_t epoch = 0;                       ///< changes when the cache restarts, which empties it
+  uint64_t next_event = 0;                  ///< `since` of the next poll
+  bool gap = false;                         ///< events before these are no longer available
+  std::vector<fleet::CachedPart> holdings;  ///< in the order of the events
 };
 
 /// Client of engines and KV stores. Each callback is called exactly once.
--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -51,7 +51,7 @@
   } else if (result->code == ResultCode::kOk) {
     reply_empty(exchange, true);
   } else {
-    const bool under_way = result->code == ResultCode::kUnderWay;
+    const bool under_way = result->code == ResultCode::kRolloutInProgress;
     exchange->reply(under_way ? kConflict : kBadRequest, kText, result->message + "\n");
   }
 }
--- a/src/control/fleet_bodies.cc
+++ b/src/control/fleet_bodies.cc
@@ -252,7 +252,7 @@
 
 /// Parses one event: [number, + or -, salt, part, tokens held now, model]. Returns nullopt for entries of
 /// other products in the same cache.
-std::optional<fleet::PartHolding> read_cache_event(const json& entry) {
+std::optional<fleet::CachedPart> read_cache_event(const json& entry) {
   constexpr size_t kSalt = 2;
   constexpr size_t kPart = 3;
   constexpr size_t kTokens = 4;
@@ -264,7 +264,7 @@
   if (!name) {
     return std::nullopt;
   }
-  fleet::PartHolding holding;
+  fleet::CachedPart holding;
   holding.part = placement::part_hash(name->owner, entry[kModel].get<std::string>(),
                                       hash_bytes(entry[kPart].get<std::string>()));
   holding.weights = name->weights;
@@ -326,11 +326,11 @@
   return findings.empty() ? std::optional(record) : std::nullopt;
 }
 
-std::optional<fleet::NameWeights> read_named_weights(const std::string& text) {
+std::optional<fleet::SetTargetWeights> read_named_weights(const std::string& text) {
   const json document = json::parse(text, nullptr, false);
   Findings findings;
   const FieldReader reader(document, "weights", findings);
-  fleet::NameWeights command;
+  fleet::SetTargetWeights command;
   command.model = reader.required_string("model");
   command.version = static_cast<uint64_t>(reader.integer("version", 0));
   return findings.empty() && command.version > 0 ? std::optional(command) : std::nullopt;
--- a/src/control/fleet_bodies.h
+++ b/src/control/fleet_bodies.h
@@ -25,7 +25,7 @@
 
 /// Parses the command that names the version of a model's weights that engines must load; nullopt if it is
 /// malformed.
-std::optional<fleet::NameWeights> read_named_weights(const std::string& text);
+std::optional<fleet::SetTargetWeights> read_named_weights(const std::string& text);
 
 /// Parses an operator's order to roll out another version of a service. Errors are reported as findings.
 fleet::StartServiceRollout read_rollout_order(const std::string& text, const BodyNames& names,
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_knowledge.cc
@@ -31,20 +31,21 @@
     return false;
   }
   if (registry_.table().revision() == before) {
-    pending_update_.marks.push_back({fleet::mark_key(record.id), record.sequence});
+    pending_update_.marks.push_back({fleet::backend_id_hash(record.id), record.sequence});
   } else {
     pending_update_.heartbeats.push_back(record);
   }
   return true;
 }
 
-void FleetSoftState::apply_heartbeat_marks(const fleet::PeerNews& peer_update, TimePoint now) {
-  for (const fleet::HeartbeatMark& mark : peer_update.marks) {
-    if (registry_.on_mark(mark.backend, mark.sequence, now) == fleet::MarkResult::kUnknown) {
+void FleetSoftState::apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now) {
+  for (const fleet::CompactHeartbeat& mark : peer_update.marks) {
+    if (registry_.on_compact_heartbeat(mark.backend, mark.sequence, now) ==
+        fleet::CompactHeartbeatResult::kUnknown) {
       missing_record_keys_[peer_update.sender].insert(mark.backend);
     }
   }
-  for (const fleet::RecordQuestion& question : peer_update.questions) {
+  for (const fleet::BackendRecordRequest& question : peer_update.questions) {
     if (question.member != options_.address) {
       continue;
     }
@@ -149,7 +150,7 @@
 
 fleet::CacheChanges FleetSoftState::filter_shared(fleet::CacheChanges changes) const {
   std::erase_if(changes.holdings,
-                [this](const fleet::PartHolding& holding) { return !caches_.shared(holding.part); });
+                [this](const fleet::CachedPart& holding) { return !caches_.shared(holding.part); });
   return changes;
 }
 
@@ -191,12 +192,12 @@
   }
 }
 
-void FleetSoftState::apply_engine_notes(const fleet::PeerNews& peer_update) {
+void FleetSoftState::apply_engine_notes(const fleet::PeerUpdate& peer_update) {
   if (!peer_update.leads || peer_update.term < engine_notes_term_) {
     return;
   }
   engine_notes_term_ = peer_update.term;
-  for (const fleet::EngineNote& note : peer_update.engines) {
+  for (const fleet::EngineLoadState& note : peer_update.engines) {
     registry_.set_loading(note.id, note.loading);
     for (const fleet::ModelVersion& entry : note.models) {
       registry_.set_version(note.id, entry.model, entry.version);
@@ -204,7 +205,7 @@
   }
 }
 
-void FleetSoftState::on_peer_update(const fleet::PeerNews& peer_update, TimePoint now) {
+void FleetSoftState::on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now) {
   Peer& peer = peers_[peer_update.sender];
   peer.zone = peer_update.zone;
   peer.heard = now;
@@ -228,7 +229,7 @@
     registry_.on_heartbeat(record, now);
   }
   apply_heartbeat_marks(peer_update, now);
-  for (const fleet::RouterNotice& notice : peer_update.routers) {
+  for (const fleet::RouterPresence& notice : peer_update.routers) {
     silent_routers_.erase(notice.router.name);
     routers_.on_notice(peer_update.sender, notice, now);
   }
@@ -289,8 +290,8 @@
   }
 }
 
-fleet::PeerNews FleetSoftState::take_peer_update(uint64_t term, bool leads, TimePoint now) {
-  fleet::PeerNews peer_update = std::exchange(pending_update_, {});
+fleet::PeerUpdate FleetSoftState::take_peer_update(uint64_t term, bool leads, TimePoint now) {
+  fleet::PeerUpdate peer_update = std::exchange(pending_update_, {});
   peer_update.sender = options_.address;
   peer_update.zone = options_.zone;
   peer_update.term = term;
@@ -319,9 +320,10 @@
   return peer_update;
 }
 
-fleet::PeerNews FleetSoftState::full_state_for_peer(uint64_t term, bool leads,
-                                                    const fleet::NamedWeights& named, TimePoint now) const {
-  fleet::PeerNews peer_update;
+fleet::PeerUpdate FleetSoftState::full_state_for_peer(uint64_t term, bool leads,
+                                                      const fleet::TargetWeights& named,
+                                                      TimePoint now) const {
+  fleet::PeerUpdate peer_update;
   peer_update.sender = options_.address;
   peer_update.zone = options_.zone;
   peer_update.term = term;
@@ -349,7 +351,7 @@
     peer_update.caches.push_back(filter_shared(caches_.whole(holder)));
   }
   for (const fleet::BackendRecord& record : registry_.records()) {
-    if (registry_.heard_since(record.id, now - options_.registry.overdue_after)) {
+    if (registry_.has_heartbeat_since(record.id, now - options_.registry.overdue_after)) {
       peer_update.heartbeats.push_back(record);
     }
     if (leads && record.loading) {
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -167,7 +167,7 @@
 void FleetServer::reply_to_router(RouterLink& link) {
   fleet::FleetUpdate update = make_update(link);
   update.answers = link.status.sequence;
-  update.spending_taken = link.spending_taken;
+  update.acknowledged_spending_sequence = link.acknowledged_spending_sequence;
   if (needs_configuration(link, true)) {
     update.configuration.push_back(core_->state().fleet().configuration());
     link.configuration_sent = configuration_version();
@@ -240,7 +240,8 @@
   soft_state_.on_router_loads(loads, loop_.now());
   const auto found = router_links_.find(loads.router);
   if (found != router_links_.end() && found->second.channel == channel) {
-    found->second.spending_taken = std::max(found->second.spending_taken, loads.spending_number);
+    found->second.acknowledged_spending_sequence =
+        std::max(found->second.acknowledged_spending_sequence, loads.spending_sequence);
   }
 }
 
@@ -249,7 +250,7 @@
     if (link.channel == channel && !link.silent) {
       link.silent = true;
       soft_state_.forget_router(name);
-      router_confirmations_.note_closed(name, loop_.now());
+      router_confirmations_.on_connection_closed(name, loop_.now());
       log_.event(events::RouterChanged{name, "closed", link.status.configuration_version});
     }
   }
@@ -288,7 +289,7 @@
     if (found == frames.end()) {
       FeedFrame feed_frame;
       feed_frame.after = link.cursor;
-      const fleet::FleetNews message = soft_state_.next_feed_message(feed_frame.after, loop_.now());
+      const fleet::FleetFeedUpdate message = soft_state_.next_feed_message(feed_frame.after, loop_.now());
       feed_frame.complete = message.complete;
       if (!message.empty()) {
         feed_frame.frame = wire::make_frame(message);
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -27,7 +27,7 @@
 #include "src/control/router_link.h"
 #include "src/control/weight_rollout.h"
 #include "src/http/event_loop.h"
-#include "src/rollout/answer_book.h"
+#include "src/rollout/answer_aggregator.h"
 #include "src/rollout/rollout_planner.h"
 #include "src/rollout/router_confirmations.h"
 #include "src/storage/replica_store.h"
@@ -195,7 +195,7 @@
   std::optional<LeaderConfirmation> confirmation() const;
 
   // fleet_permits.cc: permits under the rate limits of backends, which apply to all routers together
-  void on_permit_question(const ChannelPtr& channel, const fleet::PermitQuestion& question);
+  void on_permit_question(const ChannelPtr& channel, const fleet::PermitRequest& question);
   bool may_grant_permits() const;
   void maintain_permits();
 
@@ -207,9 +207,9 @@
   /// Attributes the traffic to another member to the distance of its zone.
   void meter_peer_traffic(const std::string& address, const std::string& zone);
   void log_traffic();
-  void on_peer_update(const fleet::PeerNews& peer_update);
-  void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationQuestion& question);
-  void on_confirmation_answer(const fleet::ConfirmationAnswer& answer);
+  void on_peer_update(const fleet::PeerUpdate& peer_update);
+  void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationRequest& question);
+  void on_confirmation_answer(const fleet::ConfirmationResponse& answer);
   void request_confirmation();
   void track_confirmation();
   void choose_caches();
@@ -227,7 +227,7 @@
   void track_rollouts();
   void log_rollout_step(const fleet::ServiceRollout& rollout);
   void record_applied_rollouts(const std::string& router, const std::vector<fleet::AppliedRollout>& applied);
-  void adopt_rollout_ages(const fleet::PeerNews& peer_update);
+  void adopt_rollout_ages(const fleet::PeerUpdate& peer_update);
   void advance_service_rollouts();
   void judge_answers();
   void step_rollout(const fleet::ServiceRollout& rollout);
@@ -273,7 +273,7 @@
   std::string logged_members_;
   uint64_t handled_state_revision_ = 0;
   fleet::RevisionTable<std::string, fleet::BackendState> retired_backends_;  ///< from the replicated log
-  fleet::NamedWeights named_weights_;
+  fleet::TargetWeights named_weights_;
   uint64_t named_weights_revision_ = 0;    ///< incremented when `named_weights_` changes
   uint64_t members_revision_ = 0;          ///< incremented when the member list changes
   TimePoint configuration_applied_at_{0};  ///< of the newest configuration
--- a/src/control/router_directory.cc
+++ b/src/control/router_directory.cc
@@ -40,7 +40,8 @@
   return changed;
 }
 
-void RouterDirectory::on_notice(const std::string& member, const fleet::RouterNotice& notice, TimePoint now) {
+void RouterDirectory::on_notice(const std::string& member, const fleet::RouterPresence& notice,
+                                TimePoint now) {
   const auto found = routers_.find(notice.router.name);
   if (notice.present) {
     KnownRouter& known = routers_[notice.router.name];
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -21,7 +21,7 @@
   /// Handles a router's status. Returns true when the router's record has changed.
   bool on_status(const fleet::RouterRecord& router, TimePoint now);
   /// Handles a notice of another member that a router follows it, or is no longer connected to it.
-  void on_notice(const std::string& member, const fleet::RouterNotice& notice, TimePoint now);
+  void on_notice(const std::string& member, const fleet::RouterPresence& notice, TimePoint now);
   /// Removes a router that is no longer connected to this member.
   void forget(const std::string& router);
   /// Records that another member is reachable, and with it the routers that it reported.
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -34,7 +34,7 @@
   uint64_t configuration_sent = 0;  ///< version sent last
   TimePoint configuration_sent_at{0};
   /// Highest spending number received on this connection; see fleet::RouterLoads.
-  uint64_t spending_taken = 0;
+  uint64_t acknowledged_spending_sequence = 0;
 
   /// Starts over on a new connection.
   void reconnect(const std::shared_ptr<wire::Channel>& connection) {
@@ -42,7 +42,7 @@
     told = {};
     cursor = {};
     configuration_sent = 0;
-    spending_taken = 0;
+    acknowledged_spending_sequence = 0;
   }
 };
 
--- a/src/dispatch/request_distance.cc
+++ b/src/dispatch/request_distance.cc
@@ -4,9 +4,9 @@
 
 namespace stoat::dispatch {
 
-topology::Place RequestRun::place_of_store(const std::string& address) const {
+topology::MachineLocation RequestRun::place_of_store(const std::string& address) const {
   const fleet::Service* store = plan_.table->store_at(address);
-  return context_.topology.place_of(store == nullptr ? address : store->store_zone);
+  return context_.topology.location_of(store == nullptr ? address : store->store_zone);
 }
 
 void RequestRun::note_distances(const Backend& target, const CachePlan& cache,
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -29,7 +29,7 @@
   }
   const bool in_flight = backend_ != nullptr;
   if (in_flight) {
-    record_rollout_end(rollout::SendEnd::kTimedOut);
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
     finish_exchange(false);
   }
   if (streaming_) {
@@ -62,7 +62,7 @@
 
 void RequestRun::abort_stream(const char* reason) {
   if (backend_ != nullptr) {
-    record_rollout_end(rollout::SendEnd::kTimedOut);
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
     finish_exchange(false);
   }
   answer_->abort();
@@ -71,7 +71,7 @@
 
 void RequestRun::cancel(const char* reason) {
   if (backend_ != nullptr) {
-    record_rollout_end(rollout::SendEnd::kAbandoned);
+    record_rollout_end(rollout::SendOutcome::kAbandoned);
     finish_exchange(false);
   }
   finish_request(reason, 0);
--- a/src/dispatch/request_run.cc
+++ b/src/dispatch/request_run.cc
@@ -295,7 +295,7 @@
   if (kind_ == ResponseKind::kNotRun) {
     context_.pool.outliers().on_success(backend_->record.id);
     story_.add(events::RequestNotRun{backend_->record.id, head_.status});
-    record_rollout_end(rollout::SendEnd::kNotRun);
+    record_rollout_end(rollout::SendOutcome::kNotRun);
     finish_exchange(true);
     on_not_run(true);
     return;
@@ -308,7 +308,7 @@
     context_.pool.outliers().on_success(backend_->record.id);
     clear_crash_suspicion();
     observe_run_time();
-    record_rollout_end(rollout::SendEnd::kAnswered);
+    record_rollout_end(rollout::SendOutcome::kAnswered);
     finish_exchange(true);
     if (!streaming_) {
       answer_->start(head_);
@@ -326,7 +326,7 @@
 
 void RequestRun::finish_buffered_response() {
   const bool failed = head_.status >= kFirstServerError;
-  record_rollout_end(failed ? rollout::SendEnd::kFailed : rollout::SendEnd::kAnswered);
+  record_rollout_end(failed ? rollout::SendOutcome::kFailed : rollout::SendOutcome::kAnswered);
   if (failed && plan_.route->repeatable()) {
     // The engine itself failed: retry at another one, or else relay this response.
     ++runs_;
--- a/src/dispatch/request_run.h
+++ b/src/dispatch/request_run.h
@@ -65,14 +65,14 @@
   events::StoryBook& stories;
   Random random{0};
   topology::Topology topology = {};
-  topology::Place place = {};  ///< location of this router
+  topology::MachineLocation place = {};  ///< location of this router
   uint32_t router_count = 1;
   delivery::SharingRouters sharing_routers{10s};  ///< share the fixed part of the retry budget
   /// Engines with older weights are no longer used after this time since the newer version was announced.
   Duration old_weights_limit = 6s;
   delivery::WindowBudgetOptions budget_options = {};
   std::map<std::string, delivery::WindowBudget> budgets = {};  ///< retry budgets by service
-  fleet::NamedWeights wanted = {};                             ///< announced weights versions by model
+  fleet::TargetWeights wanted = {};                            ///< announced weights versions by model
   StoreSet stores = {};
   /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
   std::function<void(fleet::ChainPlacement)> tell_placement = [](const fleet::ChainPlacement&) {};
@@ -131,12 +131,12 @@
 /// KV cache transfers of one attempt: where its engine loads cache from and where it stores what it has
 /// prefilled. Addresses; empty: none.
 struct CachePlan {
-  std::string source = {};            ///< engine or store to load from
-  std::string target = {};            ///< store to write to
-  std::string backup = {};            ///< engine that receives a backup of the run's KV cache
-  std::string resume_from = {};       ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
-  uint32_t candidates = 1;            ///< number of engines that it was placed among, for the log
-  topology::Place source_place = {};  ///< location of `source`; meaningless without one
+  std::string source = {};       ///< engine or store to load from
+  std::string target = {};       ///< store to write to
+  std::string backup = {};       ///< engine that receives a backup of the run's KV cache
+  std::string resume_from = {};  ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
+  uint32_t candidates = 1;       ///< number of engines that it was placed among, for the log
+  topology::MachineLocation source_place = {};  ///< location of `source`; meaningless without one
 };
 
 /// Forecast of the first event of an attempt, and its inputs, as of the time of sending.
@@ -252,7 +252,7 @@
   /// Counts the attempt at backend_, and below its outcome, while its service has a rollout in progress.
   void record_rollout_send();
   void record_rollout_first_event();
-  void record_rollout_end(rollout::SendEnd end);
+  void record_rollout_end(rollout::SendOutcome end);
   void record_rollout_failure(ExchangeFailure failure);
   /// Decides whether the request is in the share sent to the version on trial (the canary).
   void sample_for_trial();
@@ -301,7 +301,7 @@
   CachePlan plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
                        bool store_pays) const;
   /// Location of a store; if it is not configured, a zone of its own.
-  topology::Place place_of_store(const std::string& address) const;
+  topology::MachineLocation place_of_store(const std::string& address) const;
   /// Counts the network distances of the attempt and of its KV cache source, and adds them to the log event.
   void note_distances(const Backend& target, const CachePlan& cache, events::RequestSent& sent) const;
   /// Updates the service's call time with a completed request without a prompt.
@@ -379,8 +379,8 @@
   uint32_t runs_ = 0;             ///< engines that may have executed it
   uint32_t refusals_ = 0;         ///< engines that stated that they did not execute it
   std::set<std::string> tried_;
-  bool in_trial_sample_ = false;                      ///< it goes to the version on trial
-  std::optional<rollout::CountedSend> rollout_send_;  ///< of the exchange at backend_
+  bool in_trial_sample_ = false;                         ///< it goes to the version on trial
+  std::optional<rollout::CountedRequest> rollout_send_;  ///< of the exchange at backend_
   placement::PromptChain chain_;
   const uint64_t fingerprint_;  ///< see request_fingerprint()
 
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -17,7 +17,7 @@
       ids.push_back(backend->record.id);
     }
   }
-  const std::vector<std::string> sample = rollout::sample_of(std::move(ids), rollout);
+  const std::vector<std::string> sample = rollout::sampled_backends(std::move(ids), rollout);
   if (sample.empty()) {
     return;
   }
@@ -74,12 +74,12 @@
     return;
   }
   const fleet::BackendRecord& record = backend_->record;
-  rollout::CountedSend send;
+  rollout::CountedRequest send;
   send.key.rollout = rollout->id;
   send.key.target = record.software == rollout->target_version;
   send.key.engine = send.key.target ? record.id : "";
   send.key.route = plan_.route->name;
-  send.key.condition = rollout::condition_of(
+  send.key.condition = rollout::classify_condition(
       pending_prefill_tokens_, backend_->outstanding + backend_->others_outstanding, record.slots);
   send.objective = Duration(1000 * plan_.route->target_latency_ms);
   context_.answers.begin(send, context_.loop.now());
@@ -98,19 +98,19 @@
 void RequestRun::record_rollout_failure(ExchangeFailure failure) {
   switch (failure) {
     case ExchangeFailure::kNotConnected:
-      record_rollout_end(rollout::SendEnd::kNotRun);
+      record_rollout_end(rollout::SendOutcome::kNotRun);
       break;
     case ExchangeFailure::kMalformed:
-      record_rollout_end(rollout::SendEnd::kFailed);
+      record_rollout_end(rollout::SendOutcome::kFailed);
       break;
     case ExchangeFailure::kBroken:
     case ExchangeFailure::kSilent:
-      record_rollout_end(rollout::SendEnd::kBroken);
+      record_rollout_end(rollout::SendOutcome::kBroken);
       break;
   }
 }
 
-void RequestRun::record_rollout_end(rollout::SendEnd end) {
+void RequestRun::record_rollout_end(rollout::SendOutcome end) {
   if (rollout_send_) {
     context_.answers.end(*rollout_send_, end, context_.loop.now());
     rollout_send_.reset();
--- a/src/fleet/backend_limit.h
+++ b/src/fleet/backend_limit.h
@@ -28,7 +28,7 @@
 }
 
 /// Asks for permits to send requests to one rate-limited backend.
-struct PermitWish {
+struct PermitRequestItem {
   std::string backend;
   double per_second = 0;  ///< the backend's limit as the router knows it
   uint32_t count = 0;     ///< permits wanted
@@ -36,24 +36,24 @@
 };
 
 /// Router to leader: requests permits.
-struct PermitQuestion {
+struct PermitRequest {
   uint64_t number = 0;  ///< echoed in the answer
-  std::vector<PermitWish> wishes;
+  std::vector<PermitRequestItem> wishes;
   MSGPACK_DEFINE_ARRAY(number, wishes)
 };
 
-/// The permits granted for one PermitWish.
-struct PermitTerms {
+/// The permits granted for one PermitRequestItem.
+struct GrantedPermits {
   std::string backend;
   uint32_t count = 0;   ///< requests that may be sent
   int64_t wait_ms = 0;  ///< delay before sending; when count is 0: delay before asking again
   MSGPACK_DEFINE_ARRAY(backend, count, wait_ms)
 };
 
-/// Control member to router: the answer to a PermitQuestion. Members other than the leader grant nothing.
-struct PermitAnswer {
+/// Control member to router: the answer to a PermitRequest. Members other than the leader grant nothing.
+struct PermitResponse {
   uint64_t number = 0;
-  std::vector<PermitTerms> terms;
+  std::vector<GrantedPermits> terms;
   MSGPACK_DEFINE_ARRAY(number, terms)
 };
 
--- a/src/fleet/backend_registry.cc
+++ b/src/fleet/backend_registry.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-uint64_t mark_key(const std::string& id) { return hash_bytes(id); }
+uint64_t backend_id_hash(const std::string& id) { return hash_bytes(id); }
 
 bool BackendRegistry::on_heartbeat(const BackendRecord& record, TimePoint now) {
   const auto known = tracked_.find(record.id);
@@ -55,7 +55,7 @@
     claim_address(record, now);
   }
   tracked_[record.id] = TrackedBackend{updated, now, {}};
-  id_by_key_[mark_key(record.id)] = record.id;
+  id_by_key_[backend_id_hash(record.id)] = record.id;
   publish(updated);
   return true;
 }
@@ -102,18 +102,18 @@
     id_by_address_.erase(address);
   }
   table_.erase(id);
-  id_by_key_.erase(mark_key(id));
+  id_by_key_.erase(backend_id_hash(id));
   tracked_.erase(known);
 }
 
-MarkResult BackendRegistry::on_mark(uint64_t key, uint64_t sequence, TimePoint now) {
+CompactHeartbeatResult BackendRegistry::on_compact_heartbeat(uint64_t key, uint64_t sequence, TimePoint now) {
   const BackendRecord* known = find_by_key(key);
   if (known == nullptr) {
-    return MarkResult::kUnknown;
+    return CompactHeartbeatResult::kUnknown;
   }
   BackendRecord record = *known;
   record.sequence = sequence;
-  return on_heartbeat(record, now) ? MarkResult::kTaken : MarkResult::kStale;
+  return on_heartbeat(record, now) ? CompactHeartbeatResult::kTaken : CompactHeartbeatResult::kStale;
 }
 
 void BackendRegistry::claim_address(const BackendRecord& record, TimePoint now) {
@@ -224,7 +224,7 @@
   return list;
 }
 
-bool BackendRegistry::heard_since(const std::string& id, TimePoint since) const {
+bool BackendRegistry::has_heartbeat_since(const std::string& id, TimePoint since) const {
   const auto known = tracked_.find(id);
   return known != tracked_.end() && known->second.at >= since;
 }
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -23,14 +23,14 @@
 };
 
 /// Result of a mark: a compact heartbeat that carries only the hash of the id and the sequence.
-enum class MarkResult : uint8_t {
+enum class CompactHeartbeatResult : uint8_t {
   kTaken,
   kStale,    ///< a heartbeat with the same or a higher sequence is known, or the incarnation was replaced
   kUnknown,  ///< the backend is not known, and its full record must be requested
 };
 
 /// The hash by which marks identify a backend.
-uint64_t mark_key(const std::string& id);
+uint64_t backend_id_hash(const std::string& id);
 
 /// The registered backends and their states, see the top of this file.
 class BackendRegistry {
@@ -40,7 +40,7 @@
   /// Applies a heartbeat. Returns false when it is stale or contradicts the known record.
   bool on_heartbeat(const BackendRecord& record, TimePoint now);
   /// Applies a heartbeat in which nothing but the sequence has changed.
-  MarkResult on_mark(uint64_t key, uint64_t sequence, TimePoint now);
+  CompactHeartbeatResult on_compact_heartbeat(uint64_t key, uint64_t sequence, TimePoint now);
   /// Applies a replicated retirement.
   void retire(const std::string& id, BackendState state);
   /// Sets whether a backend is loading new weights.
@@ -68,7 +68,7 @@
     return holder != id_by_address_.end() && holder->second != id;
   }
   /// True when a heartbeat of the backend arrived at `since` or later.
-  bool heard_since(const std::string& id, TimePoint since) const;
+  bool has_heartbeat_since(const std::string& id, TimePoint since) const;
   /// The same records in order of change. Sequences are left out because they change with every heartbeat.
   const RevisionTable<std::string, BackendRecord>& table() const { return table_; }
 
@@ -106,7 +106,7 @@
 
   RegistryOptions options_;
   std::map<std::string, TrackedBackend> tracked_;
-  std::unordered_map<uint64_t, std::string> id_by_key_;  ///< ids in `tracked_`, by mark_key()
+  std::unordered_map<uint64_t, std::string> id_by_key_;  ///< ids in `tracked_`, by backend_id_hash()
   /// Ids in `tracked_`, by address. Without this index, registering N backends would compare each with all
   /// others.
   std::unordered_map<std::string, std::string> id_by_address_;
--- a/src/fleet/crash_record.h
+++ b/src/fleet/crash_record.h
@@ -9,21 +9,21 @@
 namespace stoat::fleet {
 
 /// A confirmed or suspected crash of one backend.
-struct CrashNotice {
+struct CrashReport {
   std::string backend;       ///< id of the incarnation
   int64_t age_ms = 0;        ///< time since the crash, as far as the sender knows
-  bool acquitted = false;    ///< the crash is not counted against the request
-  bool unconfirmed = false;  ///< the connection broke, but no crash is known. If also `acquitted`, the
-                             ///< backend turned out to be alive. A confirmed crash is acquitted when the
+  bool dismissed = false;    ///< the crash is not counted against the request
+  bool unconfirmed = false;  ///< the connection broke, but no crash is known. If also `dismissed`, the
+                             ///< backend turned out to be alive. A confirmed crash is dismissed when the
                              ///< request has succeeded since
-  MSGPACK_DEFINE_ARRAY(backend, age_ms, acquitted, unconfirmed)
-  bool operator==(const CrashNotice&) const = default;
+  MSGPACK_DEFINE_ARRAY(backend, age_ms, dismissed, unconfirmed)
+  bool operator==(const CrashReport&) const = default;
 };
 
 /// The crashes that happened while a request was running.
 struct CrashRecord {
   uint64_t request = 0;  ///< fingerprint, see dispatch::request_fingerprint
-  std::vector<CrashNotice> crashes;
+  std::vector<CrashReport> crashes;
   MSGPACK_DEFINE_ARRAY(request, crashes)
   bool operator==(const CrashRecord&) const = default;
 };
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -28,7 +28,7 @@
   RouterRecord router;
   uint64_t sequence = 0;               ///< echoed in the answer
   uint64_t configuration_version = 0;  ///< version of the configuration in use
-  bool follows = false;                ///< the router is subscribed to the member's feed (FleetNews)
+  bool follows = false;                ///< the router is subscribed to the member's feed (FleetFeedUpdate)
   std::vector<AppliedRollout> rollouts = {};
   MSGPACK_DEFINE_ARRAY(router, sequence, configuration_version, follows, rollouts)
 };
@@ -65,15 +65,15 @@
   std::vector<BackendLoad> loads;
   std::vector<std::string> unreachable;       ///< ids of backends that recently could not be reached
   std::vector<TenantSpending> spending = {};  ///< since the previous message
-  uint64_t spending_number = 0;           ///< increases with each message that has spending; 0: no spending
+  uint64_t spending_sequence = 0;         ///< increases with each message that has spending; 0: no spending
   uint64_t start_id = 0;                  ///< identifies the router process; new at each start
-  bool answers_anew = false;              ///< `answers` holds all counts, not only those that changed
+  bool answers_are_complete = false;      ///< `answers` holds all counts, not only those that changed
   std::vector<AnswerCount> answers = {};  ///< cumulative since the start of the router
   std::vector<BackendLimit> limits = {};  ///< announced or withdrawn since the previous message
   std::vector<CrashRecord> crashes =
       {};  ///< observed, or cleared by a successful end, since the previous message
-  MSGPACK_DEFINE_ARRAY(router, loads, unreachable, spending, spending_number, start_id, answers_anew, answers,
-                       limits, crashes)
+  MSGPACK_DEFINE_ARRAY(router, loads, unreachable, spending, spending_sequence, start_id,
+                       answers_are_complete, answers, limits, crashes)
 };
 
 /// The KV cache of a chain of prompt parts is present at a backend or KV store.
@@ -85,18 +85,18 @@
 };
 
 /// Router to the member whose feed it is subscribed to: prompt parts that were recently computed.
-struct PlacementNews {
+struct PlacementUpdate {
   std::vector<ChainPlacement> placements;
   MSGPACK_DEFINE_ARRAY(placements)
 };
 
 /// The KV cache of one prompt part at an engine or store.
-struct PartHolding {
+struct CachedPart {
   uint64_t part = 0;     ///< placement::part_hash
   uint64_t weights = 0;  ///< version of the weights that computed it
   uint32_t tokens = 0;   ///< cached tokens from the beginning of the part; 0: evicted
   MSGPACK_DEFINE_ARRAY(part, weights, tokens)
-  bool operator==(const PartHolding&) const = default;
+  bool operator==(const CachedPart&) const = default;
 };
 
 /// Changes of the contents of one KV cache.
@@ -108,12 +108,12 @@
   uint64_t claim = 0;     ///< between members: the subscriber with the highest claim is authoritative
   uint64_t epoch = 0;     ///< between members: changes when the cache restarts
   uint64_t next_event = 0;  ///< between members: position at which another subscriber continues
-  std::vector<PartHolding> holdings;
+  std::vector<CachedPart> holdings;
   MSGPACK_DEFINE_ARRAY(holder, store, followed, anew, claim, epoch, next_event, holdings)
 };
 
 /// A target version of a model's weights, and the time since it was set as far as the sender knows.
-struct NamedVersion {
+struct TargetWeightsVersion {
   std::string model;
   uint64_t version = 0;
   int64_t age_ms = 0;
@@ -131,18 +131,19 @@
   uint64_t confirmed_version = 0;                 ///< version of the configuration at that confirmation
   std::vector<FleetConfiguration> configuration;  ///< at most one
   std::vector<RetiredBackend> retired;
-  std::vector<NamedVersion> weights;  ///< the latest of each model, oldest first; empty: unchanged
-  std::vector<std::string> members;   ///< "address:port" for the internal protocol; empty: unchanged
-  uint32_t router_count = 0;          ///< routers that are alive
-  uint64_t spending_taken = 0;        ///< in an answer: the highest RouterLoads::spending_number received
+  std::vector<TargetWeightsVersion> weights;  ///< the latest of each model, oldest first; empty: unchanged
+  std::vector<std::string> members;           ///< "address:port" for the internal protocol; empty: unchanged
+  uint32_t router_count = 0;                  ///< routers that are alive
+  uint64_t acknowledged_spending_sequence =
+      0;  ///< in an answer: the highest RouterLoads::spending_sequence received
   std::vector<ServiceRollout> rollouts = {};  ///< the last rollout of each service; empty: unchanged
   MSGPACK_DEFINE_ARRAY(answers, leads, zone, quorum_age_ms, confirmed_version, configuration, retired,
-                       weights, members, router_count, spending_taken, rollouts)
+                       weights, members, router_count, acknowledged_spending_sequence, rollouts)
 };
 
 /// Control member to its subscribed routers: changes of the fleet since the previous message. A feed starts
 /// with the full state, split over several messages.
-struct FleetNews {
+struct FleetFeedUpdate {
   bool anew = false;      ///< the feed starts: discard what was sent before
   bool complete = false;  ///< the full state was sent; a sender that has just started does not have it yet
   std::vector<BackendRecord> backends;
@@ -161,7 +162,7 @@
 };
 
 /// A router has become reachable, or is no longer, at a control member.
-struct RouterNotice {
+struct RouterPresence {
   RouterRecord router;
   bool present = true;
   MSGPACK_DEFINE_ARRAY(router, present)
@@ -175,21 +176,21 @@
 };
 
 /// A compact heartbeat: the backend is alive and its record is unchanged.
-struct HeartbeatMark {
-  uint64_t backend = 0;  ///< mark_key() of the id
+struct CompactHeartbeat {
+  uint64_t backend = 0;  ///< backend_id_hash() of the id
   uint64_t sequence = 0;
   MSGPACK_DEFINE_ARRAY(backend, sequence)
 };
 
 /// Asks a member for the full records of backends for which it sent only marks.
-struct RecordQuestion {
+struct BackendRecordRequest {
   std::string member;              ///< internal address of the member that is asked
-  std::vector<uint64_t> backends;  ///< mark_key() of the ids
+  std::vector<uint64_t> backends;  ///< backend_id_hash() of the ids
   MSGPACK_DEFINE_ARRAY(member, backends)
 };
 
 /// State of an engine as the leader knows it from its own load orders.
-struct EngineNote {
+struct EngineLoadState {
   std::string id;
   bool loading = false;  ///< new weights are being loaded
   std::vector<ModelVersion> models;
@@ -198,7 +199,7 @@
 
 /// Control member to control member: information received by the sender since the previous message, so that
 /// all members converge on the same soft state.
-struct PeerNews {
+struct PeerUpdate {
   std::string sender;  ///< internal address
   std::string zone;
   uint64_t term = 0;
@@ -207,21 +208,21 @@
   bool anew = false;    ///< full state: discard what the sender sent before
   std::vector<std::string> incomplete;  ///< addresses of members that are asked for their full state
   std::vector<BackendRecord> heartbeats;
-  std::vector<RouterNotice> routers;
+  std::vector<RouterPresence> routers;
   std::vector<BackendLoad> loads;  ///< totals of the sender's routers, for backends where they changed
   std::vector<CacheChanges> caches;
   std::vector<ChainPlacement> placements;
   std::vector<uint64_t> shared_parts;  ///< hashes of prompt parts that several prompts may begin with
   std::vector<UnreachableNotice> unreachable;
-  std::vector<EngineNote> engines;            ///< only from the leader
-  std::vector<NamedVersion> weights;          ///< only with the full state: target versions and their ages
+  std::vector<EngineLoadState> engines;       ///< only from the leader
+  std::vector<TargetWeightsVersion> weights;  ///< only with the full state: target versions and their ages
   uint64_t start_id = 0;                      ///< identifies the sender process; new at each start
   std::vector<TenantSpending> spending = {};  ///< changed totals of the sender's routers since its start
   std::vector<WindowSpending> windows =
       {};                     ///< only with the full state: usage of all routers, as far as known
   int64_t quotas_age_ms = 0;  ///< only with the full state: how long the sender has been counting
-  std::vector<HeartbeatMark> marks = {};
-  std::vector<RecordQuestion> questions = {};
+  std::vector<CompactHeartbeat> marks = {};
+  std::vector<BackendRecordRequest> questions = {};
   std::vector<AnswerCount> answers = {};      ///< changed totals of the sender's routers since its start
   std::vector<RouterRollouts> applied = {};   ///< reports of the sender's routers since the previous message
   std::vector<RolloutAge> rollout_ages = {};  ///< only from the leader: rollouts that are not final
@@ -240,13 +241,13 @@
 };
 
 /// Follower to leader: asks when a quorum last confirmed the leader, and with which configuration version.
-struct ConfirmationQuestion {
+struct ConfirmationRequest {
   uint64_t number = 0;
   MSGPACK_DEFINE_ARRAY(number)
 };
 
-/// The answer to a ConfirmationQuestion.
-struct ConfirmationAnswer {
+/// The answer to a ConfirmationRequest.
+struct ConfirmationResponse {
   uint64_t number = 0;
   int64_t quorum_age_ms = -1;  ///< negative: not the leader, or not confirmed yet
   uint64_t configuration_version = 0;
@@ -261,7 +262,7 @@
 };
 
 /// The answer to a ConfirmedRead.
-struct ConfirmedReadAnswer {
+struct ConfirmedReadResponse {
   uint64_t call_id = 0;
   bool confirmed = false;
   std::string source;                        ///< the operator's document; empty when there is none yet
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -21,7 +21,7 @@
 
 /// Command: sets the version of a model's weights that all engines should have. A lower version has no
 /// effect.
-struct NameWeights {
+struct SetTargetWeights {
   std::string model;
   uint64_t version = 0;
   MSGPACK_DEFINE_ARRAY(model, version)
@@ -50,19 +50,19 @@
 inline constexpr int64_t kRepeatedOrderWindowMs = 10000;
 
 /// Result of a rollout order.
-enum class RolloutVerdict : uint8_t {
-  kTaken,           ///< accepted, already running, or already done
-  kUnknownService,  ///< not a service with backends in the configuration
-  kUnderWay,        ///< a rollout of the service to another version is in progress
+enum class RolloutOrderResult : uint8_t {
+  kTaken,              ///< accepted, already running, or already done
+  kUnknownService,     ///< not a service with backends in the configuration
+  kRolloutInProgress,  ///< a rollout of the service to another version is in progress
 };
 
 /// The replicated state machine of the fleet.
 class FleetState {
  public:
   void apply(const PutConfiguration& command);
-  void apply(const NameWeights& command);
+  void apply(const SetTargetWeights& command);
   void apply(const RetireBackend& command);
-  RolloutVerdict apply(const StartServiceRollout& command);
+  RolloutOrderResult apply(const StartServiceRollout& command);
   void apply(const StepServiceRollout& command);
 
   const FleetConfiguration& configuration() const { return configuration_; }
--- a/src/fleet/service_rollout.h
+++ b/src/fleet/service_rollout.h
@@ -12,12 +12,12 @@
 
 /// Phase of a rollout. The last two are final.
 enum class RolloutPhase : uint8_t {
-  kWaiting,     ///< no backend of the target version is available yet
-  kTrial,       ///< a share of the traffic goes to the target version, whose answers are evaluated
-  kSwitching,   ///< all traffic goes to the target version; requests at other versions finish
-  kReturning,   ///< rolling back: no new traffic to the target version, not confirmed by all routers yet
-  kCompleted,   ///< the target version is the active one
-  kRolledBack,  ///< the target version gets no traffic
+  kWaiting,      ///< no backend of the target version is available yet
+  kTrial,        ///< a share of the traffic goes to the target version, whose answers are evaluated
+  kSwitching,    ///< all traffic goes to the target version; requests at other versions finish
+  kRollingBack,  ///< rolling back: no new traffic to the target version, not confirmed by all routers yet
+  kCompleted,    ///< the target version is the active one
+  kRolledBack,   ///< the target version gets no traffic
 };
 
 /// One rollout order and its latest step. Steps are ordered by the replicated log.
@@ -93,7 +93,7 @@
   bool target = false;   ///< answered by the target version
   std::string engine;    ///< id of the backend; empty for versions other than the target
   std::string route;
-  uint8_t condition = 0;  ///< class of prefill work and load, see rollout::condition_of
+  uint8_t condition = 0;  ///< class of prefill work and load, see rollout::classify_condition
   MSGPACK_DEFINE_ARRAY(rollout, target, engine, route, condition)
   bool operator==(const AnswerKey&) const = default;
   bool operator<(const AnswerKey& other) const {
@@ -103,19 +103,19 @@
 };
 
 /// Counts of answers. They only increase, so that a later message makes up for a lost one.
-struct AnswerSums {
+struct AnswerTotals {
   uint64_t sent = 0;
   uint64_t failed = 0;          ///< error answers of the backend, and malformed ones
   uint64_t broken = 0;          ///< connections that broke or stalled before the answer was complete
-  std::vector<uint64_t> times;  ///< histogram of the time to the first event, see rollout::time_bucket
+  std::vector<uint64_t> times;  ///< histogram of the time to the first event, see rollout::latency_bucket
   MSGPACK_DEFINE_ARRAY(sent, failed, broken, times)
-  bool operator==(const AnswerSums&) const = default;
+  bool operator==(const AnswerTotals&) const = default;
 };
 
 /// The counts of one group.
 struct AnswerCount {
   AnswerKey key;
-  AnswerSums sums;
+  AnswerTotals sums;
   MSGPACK_DEFINE_ARRAY(key, sums)
 };
 
--- a/src/fleet/version_history.h
+++ b/src/fleet/version_history.h
@@ -29,6 +29,6 @@
 };
 
 /// Version histories by model.
-using NamedWeights = std::map<std::string, VersionHistory>;
+using TargetWeights = std::map<std::string, VersionHistory>;
 
 }  // namespace stoat::fleet
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void GatewayServer::on_news(const fleet::FleetNews& news) {
+void GatewayServer::on_news(const fleet::FleetFeedUpdate& news) {
   if (news.anew) {
     feed_begun_ = true;
     loads_told_ = false;
@@ -52,7 +52,7 @@
   }
 }
 
-void GatewayServer::take_backends(const fleet::FleetNews& news) {
+void GatewayServer::take_backends(const fleet::FleetFeedUpdate& news) {
   std::vector<events::BackendChanged> changes;
   for (const fleet::BackendRecord& record : news.backends) {
     const dispatch::BackendPtr known = pool_.find(record.id);
@@ -95,7 +95,7 @@
     if (!link_.has_leader()) {
       return;
     }
-    const fleet::PermitQuestion question = context_.limits.take_question(loop_.now());
+    const fleet::PermitRequest question = context_.limits.take_question(loop_.now());
     if (!question.wishes.empty()) {
       link_.send_to_leader(question);
     }
@@ -120,9 +120,9 @@
   }
   admission::NumberedSpending spending = context_.quotas.take_untold();
   message.spending = std::move(spending.spending);
-  message.spending_number = spending.number;
+  message.spending_sequence = spending.number;
   message.start_id = start_id_;
-  message.answers_anew = !loads_told_;
+  message.answers_are_complete = !loads_told_;
   message.crashes = context_.crashes.take_changes(loop_.now());
   if (!loads_told_) {
     message.crashes = context_.crashes.all(loop_.now());
@@ -180,7 +180,7 @@
   if (changes.anew) {
     memory.forget_holdings();
   }
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  for (const fleet::CachedPart& holding : changes.holdings) {
     if (holding.tokens == 0) {
       memory.drop_holding(holding.part);
     } else {
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -85,7 +85,7 @@
       link_(
           loop, settings.link, [this] { return make_status(); },
           [this](const fleet::FleetUpdate& update) { on_update(update); },
-          [this](const fleet::FleetNews& news) { on_news(news); }),
+          [this](const fleet::FleetFeedUpdate& news) { on_news(news); }),
       edge_(loop, settings.listen, *this, settings.hold) {
   context_.random = Random(seed_from_device());
   context_.quotas = admission::QuotaGate(settings.quotas, seed_from_device());
@@ -94,9 +94,9 @@
   context_.starts_until = loop.now() + settings.start_wait;
   context_.ask_for_permits = [this] { ask_for_permits(); };
   link_.set_permit_handler(
-      [this](const fleet::PermitAnswer& answer) { context_.limits.on_answer(answer, loop_.now()); });
+      [this](const fleet::PermitResponse& answer) { context_.limits.on_answer(answer, loop_.now()); });
   context_.topology = settings.topology;
-  context_.place = settings.topology.place_of(settings.zone);
+  context_.place = settings.topology.location_of(settings.zone);
   context_.budget_options = settings.budget;
   context_.sharing_routers = delivery::SharingRouters(settings.routers_settle);
   context_.old_weights_limit = settings.old_weights_limit;
@@ -182,7 +182,7 @@
     take_configuration(configuration);
   }
   pool_.retire(update.retired);
-  for (const fleet::NamedVersion& named : update.weights) {
+  for (const fleet::TargetWeightsVersion& named : update.weights) {
     fleet::VersionHistory& wanted = context_.wanted[named.model];
     if (named.version > wanted.newest()) {
       log_.event(events::WeightsNamed{named.model, named.version, named.age_ms});
@@ -194,7 +194,7 @@
     context_.sharing_routers.note(update.router_count, loop_.now());
     context_.quotas.set_router_count(update.router_count);
   }
-  context_.quotas.confirm(update.spending_taken);
+  context_.quotas.confirm(update.acknowledged_spending_sequence);
   take_rollouts(update);
 }
 
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -71,9 +71,9 @@
 
  private:
   void on_update(const fleet::FleetUpdate& update);
-  void on_news(const fleet::FleetNews& news);
+  void on_news(const fleet::FleetFeedUpdate& news);
   /// Takes back ends that are new, have changed, or are gone.
-  void take_backends(const fleet::FleetNews& news);
+  void take_backends(const fleet::FleetFeedUpdate& news);
   void remove_backend(const std::string& id);
   /// Takes limits of back ends that other routers have heard.
   void take_limits(const std::vector<fleet::BackendLimit>& limits);
@@ -159,7 +159,7 @@
   bool loads_told_ = false;                     ///< to the member of the present feed
   std::set<std::string> untold_unreachable_;    ///< back ends that could not be reached lately
   bool keys_held_ = false;                      ///< as last logged
-  fleet::PlacementNews untold_placements_;
+  fleet::PlacementUpdate untold_placements_;
   std::map<const edge::CallerAnswer*, std::shared_ptr<dispatch::RequestRun>> runs_;
   StartQueue start_queue_;
   ControlLink link_;
--- a/src/rollout/answer_book.h
+++ b/src/rollout/answer_aggregator.h
@@ -16,10 +16,10 @@
 
 namespace stoat::rollout {
 
-using AnswerTable = std::map<fleet::AnswerKey, fleet::AnswerSums>;
+using AnswerTable = std::map<fleet::AnswerKey, fleet::AnswerTotals>;
 
 /// The answer counts of all routers, see the top of this file.
-class AnswerBook {
+class AnswerAggregator {
  public:
   void on_router(const fleet::RouterLoads& loads);
   /// `start_id`: identifies the member's process; its counts restart at 0 when it changes.
@@ -48,6 +48,7 @@
 };
 
 /// Adds the increase from `before` to `now` to each count.
-void add_growth(const fleet::AnswerSums& now, const fleet::AnswerSums& before, fleet::AnswerSums& sums);
+void add_increase(const fleet::AnswerTotals& now, const fleet::AnswerTotals& before,
+                  fleet::AnswerTotals& sums);
 
 }  // namespace stoat::rollout
--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-size_t time_bucket(Duration time) {
+size_t latency_bucket(Duration time) {
   const double milliseconds = 1000 * to_seconds(time);
   if (milliseconds <= kFirstBucketMs) {
     return 0;
   }
   const double bucket = 1 + std::floor(kBucketsPerDoubling * std::log2(milliseconds / kFirstBucketMs));
-  return std::min(kTimeBuckets - 1, static_cast<size_t>(bucket));
+  return std::min(kLatencyBuckets - 1, static_cast<size_t>(bucket));
 }
 
-uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots) {
+uint8_t classify_condition(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots) {
   int prefill_class = 0;
   for (const uint64_t threshold : kPrefillThresholds) {
     prefill_class += prefill_tokens >= threshold ? 1 : 0;
@@ -43,14 +43,14 @@
   return condition / kLoadClasses >= base / kLoadClasses && condition % kLoadClasses >= base % kLoadClasses;
 }
 
-fleet::AnswerSums& AnswerCounter::sums_of(const fleet::AnswerKey& key) {
+fleet::AnswerTotals& AnswerCounter::sums_of(const fleet::AnswerKey& key) {
   changed_.insert(key);
-  fleet::AnswerSums& sums = counts_[key];
-  sums.times.resize(kTimeBuckets);
+  fleet::AnswerTotals& sums = counts_[key];
+  sums.times.resize(kLatencyBuckets);
   return sums;
 }
 
-void AnswerCounter::begin(CountedSend& send, TimePoint now) {
+void AnswerCounter::begin(CountedRequest& send, TimePoint now) {
   send.sent_at = now;
   // Requests to the target version are counted when sent and the others when they end, so that the target
   // version's share is never underestimated.
@@ -59,39 +59,39 @@
   }
 }
 
-void AnswerCounter::first_event(CountedSend& send, TimePoint now) {
+void AnswerCounter::first_event(CountedRequest& send, TimePoint now) {
   if (!send.timed) {
     send.timed = true;
-    ++sums_of(send.key).times[time_bucket(now - send.sent_at)];
+    ++sums_of(send.key).times[latency_bucket(now - send.sent_at)];
   }
 }
 
-void AnswerCounter::end(CountedSend& send, SendEnd end, TimePoint now) {
-  if (end == SendEnd::kNotRun) {
+void AnswerCounter::end(CountedRequest& send, SendOutcome end, TimePoint now) {
+  if (end == SendOutcome::kNotRun) {
     return;
   }
   if (!send.key.target) {
     ++sums_of(send.key).sent;
   }
   switch (end) {
-    case SendEnd::kAnswered:
-    case SendEnd::kTimedOut:
+    case SendOutcome::kAnswered:
+    case SendOutcome::kTimedOut:
       first_event(send, now);
       break;
-    case SendEnd::kFailed:
+    case SendOutcome::kFailed:
       ++sums_of(send.key).failed;
       break;
-    case SendEnd::kBroken:
+    case SendOutcome::kBroken:
       ++sums_of(send.key).broken;
       break;
-    case SendEnd::kAbandoned:
+    case SendOutcome::kAbandoned:
       // Callers also abandon fast answers. The answer counts as slow only if the caller waited for longer
       // than the objective.
       if (now - send.sent_at > send.objective) {
         first_event(send, now);
       }
       break;
-    case SendEnd::kNotRun:
+    case SendOutcome::kNotRun:
       break;
   }
 }
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -14,8 +14,8 @@
 
 /// Histogram of times: bucket bounds grow by a factor of the square root of two from 2 ms on; the last bucket
 /// holds everything above about 4 s.
-inline constexpr size_t kTimeBuckets = 24;
-size_t time_bucket(Duration time);
+inline constexpr size_t kLatencyBuckets = 24;
+size_t latency_bucket(Duration time);
 
 /// A condition classifies what makes answers slow whatever the version: the tokens to prefill before the
 /// first event, and the fraction of the slots in use. Answers under the same condition are comparable. A
@@ -24,11 +24,11 @@
 inline constexpr uint8_t kPrefillClasses = 4;
 inline constexpr uint8_t kLoadClasses = 3;
 inline constexpr uint8_t kConditionCount = kPrefillClasses * kLoadClasses;
-uint8_t condition_of(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots);
+uint8_t classify_condition(uint64_t prefill_tokens, uint32_t outstanding, uint32_t slots);
 bool is_at_least_as_hard(uint8_t condition, uint8_t base);
 
 /// How the sending of a request to a backend ended.
-enum class SendEnd : uint8_t {
+enum class SendOutcome : uint8_t {
   kAnswered,
   kFailed,     ///< an error of the backend, or a malformed answer
   kBroken,     ///< the connection broke or stalled
@@ -38,7 +38,7 @@
 };
 
 /// One request sent to a backend, as counted.
-struct CountedSend {
+struct CountedRequest {
   fleet::AnswerKey key;
   TimePoint sent_at{0};
   Duration objective{0};  ///< the route's target for the time to the first event
@@ -49,10 +49,10 @@
 class AnswerCounter {
  public:
   /// A request is sent to a backend.
-  void begin(CountedSend& send, TimePoint now);
+  void begin(CountedRequest& send, TimePoint now);
   /// The first event, or the whole answer, has arrived.
-  void first_event(CountedSend& send, TimePoint now);
-  void end(CountedSend& send, SendEnd end, TimePoint now);
+  void first_event(CountedRequest& send, TimePoint now);
+  void end(CountedRequest& send, SendOutcome end, TimePoint now);
   /// Removes the counts of rollouts whose ids are not listed.
   void keep(const std::set<uint64_t>& rollouts);
 
@@ -63,9 +63,9 @@
   std::vector<fleet::AnswerCount> take_all();
 
  private:
-  fleet::AnswerSums& sums_of(const fleet::AnswerKey& key);
+  fleet::AnswerTotals& sums_of(const fleet::AnswerKey& key);
 
-  std::map<fleet::AnswerKey, fleet::AnswerSums> counts_;
+  std::map<fleet::AnswerKey, fleet::AnswerTotals> counts_;
   std::set<fleet::AnswerKey> changed_;
 };
 
--- a/src/rollout/rollout_planner.cc
+++ b/src/rollout/rollout_planner.cc
@@ -45,7 +45,7 @@
 }
 
 StepServiceRollout start_rollback(const RolloutView& view, const std::string& reason) {
-  return make_step(view, RolloutPhase::kReturning, 0, reason);
+  return make_step(view, RolloutPhase::kRollingBack, 0, reason);
 }
 
 StepServiceRollout start_switch(const RolloutView& view, const std::string& reason) {
@@ -244,7 +244,7 @@
       return step_from_trial(view, options);
     case RolloutPhase::kSwitching:
       return step_from_switching(view, options);
-    case RolloutPhase::kReturning:
+    case RolloutPhase::kRollingBack:
       return step_from_returning(view, options);
     case RolloutPhase::kCompleted:
     case RolloutPhase::kRolledBack:
--- a/src/rollout/router_confirmations.h
+++ b/src/rollout/router_confirmations.h
@@ -11,7 +11,7 @@
 namespace stoat::rollout {
 
 /// Summary of the routers' reports on one rollout.
-struct RouterWord {
+struct RolloutConfirmation {
   bool all_applied = true;      ///< every router that may still serve has applied the step or a later one
   size_t missing = 0;           ///< number of known routers that have not
   uint64_t others_running = 0;  ///< requests in progress at other versions
@@ -26,10 +26,10 @@
 
   void note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied, TimePoint now);
   /// The router's connection was closed: it either reconnects soon or has ended.
-  void note_closed(const std::string& router, TimePoint now);
+  void on_connection_closed(const std::string& router, TimePoint now);
   /// Summarizes the reports on a step of a rollout. Routers that have ended, or have been out of contact for
   /// longer than the isolation limit, are ignored.
-  RouterWord word_on(uint64_t rollout, uint64_t step, TimePoint now);
+  RolloutConfirmation confirmation_of(uint64_t rollout, uint64_t step, TimePoint now);
 
  private:
   struct RouterReport {
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -56,7 +56,7 @@
   return found == rollouts_.end() ? nullptr : &found->second;
 }
 
-double share_of_route(double share, double route_fraction, size_t routes) {
+double trial_share_of_route(double share, double route_fraction, size_t routes) {
   const double evenly = (1 - kProportionalPart) * share / (static_cast<double>(routes) * route_fraction);
   return std::min(std::max(share, kMaxRouteShare), kProportionalPart * share + evenly);
 }
@@ -80,7 +80,7 @@
   if (now - confirmed_at_ > kMaxConfirmationAge) {
     return false;
   }
-  return random_value < share_of_route(rollout->share, route_fraction, counts.by_route.size());
+  return random_value < trial_share_of_route(rollout->share, route_fraction, counts.by_route.size());
 }
 
 VersionLimits ServiceVersions::limits(const std::string& service, bool sampled) const {
@@ -102,7 +102,7 @@
     case fleet::RolloutPhase::kSwitching:
     case fleet::RolloutPhase::kCompleted:
       return {Preference::kTarget, true, rollout};
-    case fleet::RolloutPhase::kReturning:
+    case fleet::RolloutPhase::kRollingBack:
     case fleet::RolloutPhase::kRolledBack:
       break;
   }
@@ -115,7 +115,8 @@
   return std::max<size_t>(1, static_cast<size_t>(even));
 }
 
-std::vector<std::string> sample_of(std::vector<std::string> ids, const fleet::ServiceRollout& rollout) {
+std::vector<std::string> sampled_backends(std::vector<std::string> ids,
+                                          const fleet::ServiceRollout& rollout) {
   if (rollout.spread) {
     return ids;
   }
--- a/src/rollout/service_versions.h
+++ b/src/rollout/service_versions.h
@@ -55,13 +55,13 @@
 /// The fraction of one route's requests that goes to the target version. Rare routes get more than `share` so
 /// that they are tested as well, while the average over all requests stays `share`. `route_fraction`: the
 /// route's part of the service's requests.
-double share_of_route(double share, double route_fraction, size_t routes);
+double trial_share_of_route(double share, double route_fraction, size_t routes);
 
 /// Number of a version's backends that get a share of the requests; at least 1.
 size_t sample_size(double share, size_t backends);
 
 /// Selects the backends that get the share: few, so that each bears the load that it would have if its
 /// version had all traffic, and the same ones at every router. `ids`: ready backends of the target version.
-std::vector<std::string> sample_of(std::vector<std::string> ids, const fleet::ServiceRollout& rollout);
+std::vector<std::string> sampled_backends(std::vector<std::string> ids, const fleet::ServiceRollout& rollout);
 
 }  // namespace stoat::rollout
--- a/src/rollout/version_judge.cc
+++ b/src/rollout/version_judge.cc
@@ -56,12 +56,12 @@
   return backend_indexes_.emplace(engine, backend_indexes_.size()).first->second;
 }
 
-void VersionJudge::add(const fleet::AnswerKey& key, const fleet::AnswerSums& growth) {
+void VersionJudge::add(const fleet::AnswerKey& key, const fleet::AnswerTotals& growth) {
   Route& route = routes_[key.route];
   const auto failed = static_cast<double>(growth.failed);
   const auto broken = static_cast<double>(growth.broken);
   const auto timed = static_cast<double>(std::accumulate(growth.times.begin(), growth.times.end(), 0ULL));
-  const size_t buckets = std::min(growth.times.size(), kTimeBuckets);
+  const size_t buckets = std::min(growth.times.size(), kLatencyBuckets);
   const uint8_t condition = std::min<uint8_t>(key.condition, kConditionCount - 1);
   if (!key.target) {
     route.others_answers += timed + failed + broken;
@@ -98,7 +98,7 @@
     route.recent.scale(decay);
     route.newest.scale(short_decay);
     for (Baseline& baseline : route.baselines) {
-      for (size_t bucket = 0; bucket < kTimeBuckets; ++bucket) {
+      for (size_t bucket = 0; bucket < kLatencyBuckets; ++bucket) {
         baseline.recent[bucket] *= decay;
         baseline.newest[bucket] *= short_decay;
       }
@@ -170,7 +170,7 @@
     if (!is_at_least_as_hard(other, condition)) {
       continue;
     }
-    for (size_t bucket = 0; bucket < kTimeBuckets; ++bucket) {
+    for (size_t bucket = 0; bucket < kLatencyBuckets; ++bucket) {
       baseline.all[bucket] += route.baselines[other].all[bucket];
       baseline.recent[bucket] += route.baselines[other].recent[bucket];
       baseline.newest[bucket] += route.baselines[other].newest[bucket];
@@ -192,7 +192,7 @@
     // answers.
     const size_t median = std::max(
         {median_bucket(baseline.all), median_bucket(baseline.recent), median_bucket(baseline.newest)});
-    const size_t slow = std::min(kTimeBuckets - 1, median + options_.slow_buckets);
+    const size_t slow = std::min(kLatencyBuckets - 1, median + options_.slow_buckets);
     const double rate = std::max(count_from(baseline.all, slow) / baseline.answers,
                                  smoothed_rate(count_from(baseline.recent, slow),
                                                count_from(baseline.recent, 0), options_.slowness.min_rate));
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -61,13 +61,13 @@
   explicit VersionJudge(const JudgeOptions& options = {}) : options_(options) {}
 
   /// Adds the counts of a key since the previous call for it.
-  void add(const fleet::AnswerKey& key, const fleet::AnswerSums& growth);
+  void add(const fleet::AnswerKey& key, const fleet::AnswerTotals& growth);
   /// Judges the counts that were added since the last call. Call several times a second.
   const Judgement& judge(TimePoint now);
   const Judgement& judgement() const { return judgement_; }
 
  private:
-  using TimeHistogram = std::array<double, kTimeBuckets>;
+  using TimeHistogram = std::array<double, kLatencyBuckets>;
   using ByBackend = std::map<size_t, double>;
   /// Counts of answers, of one backend or of all other versions.
   struct AnswerTally {
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -81,7 +81,7 @@
     TimePoint next_request{0};
     TimePoint frozen_until{0};
     uint64_t start = 0;
-    std::deque<fleet::PermitAnswer> inbox;
+    std::deque<fleet::PermitResponse> inbox;
   };
 
   void later(std::function<void()> action) {
@@ -114,14 +114,14 @@
     }
   }
   void ask(size_t index) {
-    const fleet::PermitQuestion question = routers_[index].limits->take_question(now_);
+    const fleet::PermitRequest question = routers_[index].limits->take_question(now_);
     // Some routers still take a former leader for the present one.
     const size_t leader = random_.chance(0.5) ? leaders_.size() - 1 : random_.below(leaders_.size());
     const uint64_t start = routers_[index].start;
     later([this, index, question, leader, start] {
       ++questions_;
-      fleet::PermitAnswer answer{question.number, {}};
-      for (const fleet::PermitWish& wish : question.wishes) {
+      fleet::PermitResponse answer{question.number, {}};
+      for (const fleet::PermitRequestItem& wish : question.wishes) {
         if (now_ <= leaders_[leader].grants_until) {
           const auto grant = leaders_[leader].book.ask(wish.backend, wish.per_second, wish.count, now_);
           answer.terms.push_back({wish.backend, grant.count, to_milliseconds(grant.wait + 1ms - 1us)});
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -203,7 +203,7 @@
   const auto grant_one = [&](TimePoint now) {
     limits.want("b", now);
     const uint64_t number = limits.take_question(now).number;
-    fleet::PermitAnswer answer;
+    fleet::PermitResponse answer;
     answer.number = number;
     answer.terms.push_back({"b", 1, 0});
     limits.on_answer(answer, now);
--- a/tests/unit/cache_watch_test.cc
+++ b/tests/unit/cache_watch_test.cc
@@ -12,7 +12,7 @@
 
 using control::CacheEvents;
 using control::CacheWatch;
-using fleet::PartHolding;
+using fleet::CachedPart;
 
 /// Records the requests for cache events, for the test to answer.
 class FakeEngines : public control::EngineOrders {
@@ -44,7 +44,7 @@
   CacheWatchTest() { watch_.follow({followed(1)}); }
   static control::FollowedCache followed(uint64_t claim) { return {"e1", "a:1", false, claim, 0, 0}; }
   /// Polls the cache, which answers that it is in `epoch` and reports these changes.
-  void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<PartHolding> holdings, bool gap = false) {
+  void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<CachedPart> holdings, bool gap = false) {
     now_ += 2s;
     watch_.poll(now_);
     ASSERT_EQ(engines_.requests.size(), 1U);
@@ -80,7 +80,7 @@
                   {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kPart, 2, 0}, {kPart, 3, 70}, {kOtherPart, 2, 0}});
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
+  EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, DropForOlderWeightsDoesNotReplaceNewerHolding) {
@@ -88,14 +88,14 @@
   watch_.take_changes();
   poll_and_answer(7, 9, {{kPart, 3, 100}, {kPart, 2, 0}});
   const auto changes = watch_.take_changes();
-  EXPECT_EQ(changes.at(0).holdings, (std::vector<PartHolding>{{kPart, 3, 100}, {kPart, 2, 0}}));
+  EXPECT_EQ(changes.at(0).holdings, (std::vector<CachedPart>{{kPart, 3, 100}, {kPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, InitialReadOmitsDroppedParts) {
   poll_and_answer(7, 9, {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kOtherPart, 2, 0}});
   const auto changes = watch_.take_changes();
   ASSERT_TRUE(changes.at(0).anew);
-  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 2, 100}}));
+  EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 2, 100}}));
 }
 
 TEST_F(CacheWatchTest, StartsInitialReadsAFewAtATime) {
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -69,8 +69,8 @@
 
 TEST(FleetState, WeightsVersionNeverDecreasesAndRetirementIsPermanent) {
   fleet::FleetState state;
-  state.apply(fleet::NameWeights{"m", 4});
-  state.apply(fleet::NameWeights{"m", 2});
+  state.apply(fleet::SetTargetWeights{"m", 4});
+  state.apply(fleet::SetTargetWeights{"m", 2});
   EXPECT_EQ(state.weights().at("m"), 4U);
   state.apply(fleet::RetireBackend{"e", fleet::BackendState::kGone});
   state.apply(fleet::RetireBackend{"e", fleet::BackendState::kDraining});
--- a/tests/unit/rollout_fleet_test.cc
+++ b/tests/unit/rollout_fleet_test.cc
@@ -145,7 +145,7 @@
   start_old_version();
   start_callers();
   ASSERT_EQ(submit_order("v2"), control::ResultCode::kOk);
-  EXPECT_EQ(submit_order("v3"), control::ResultCode::kUnderWay);
+  EXPECT_EQ(submit_order("v3"), control::ResultCode::kRolloutInProgress);
   start_engine("v2", 2);
   start_engine("v2", 2);
   const int64_t elapsed_ms = wait_for_phase(fleet::RolloutPhase::kRolledBack);
--- a/tests/unit/rollout_members_test.cc
+++ b/tests/unit/rollout_members_test.cc
@@ -49,8 +49,8 @@
 TEST_F(RolloutMembersTest, OnlyOneOfTwoConflictingOrdersIsAccepted) {
   start_members_with_service();
   ASSERT_TRUE(order(1, "v2", kLongDurationMs));
-  EXPECT_TRUE(
-      eventually([&] { return members_[2]->order_rollout("v3", kLongDurationMs) == ResultCode::kUnderWay; }));
+  EXPECT_TRUE(eventually(
+      [&] { return members_[2]->order_rollout("v3", kLongDurationMs) == ResultCode::kRolloutInProgress; }));
   EXPECT_TRUE(order(2, "v2", kLongDurationMs))
       << "a retry at another member, as after a lost acknowledgement";
   EXPECT_TRUE(rollout_reaches(0, "v2", RolloutPhase::kWaiting));
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -68,29 +68,29 @@
 
 TEST_F(PlannerTest, BadVersionIsRolledBackFromTrialAndSwitch) {
   view_.judgement.bad = true;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 3s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kRollingBack));
   view_.all_applied = false;
-  EXPECT_FALSE(next(RolloutPhase::kReturning, 4s));
+  EXPECT_FALSE(next(RolloutPhase::kRollingBack, 4s));
   view_.all_applied = true;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kRollingBack, 4s, RolloutPhase::kRolledBack));
 }
 
 TEST_F(PlannerTest, RollsBackBeforeTheDeadlineWithTooFewBackends) {
   view_.target_ready = 0;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 11s, RolloutPhase::kRollingBack));
   view_.target_ready = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more backends may become available";
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, RollsBackWithTooFewAnswersOrInDoubt) {
   view_.judgement.answers = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s));
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
   view_.judgement.answers = 200;
   view_.judgement.doubt = 0.7;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, TestedVersionTakesOverWhenAllOthersAreGone) {
@@ -100,21 +100,21 @@
   view_.others_gone = 2s;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning))
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kRollingBack))
       << "a bad version must not take over";
 }
 
 TEST_F(PlannerTest, RollsBackWhenTheServiceIsRemoved) {
   view_.service_known = false;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 2s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 2s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 9s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, LeaderElectedAfterTheDeadlineEndsTheRollout) {
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kWaiting, 30s, RolloutPhase::kRollingBack));
   view_.judgement.answers = 0;
-  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 30s, RolloutPhase::kRollingBack));
   view_.all_applied = true;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
 }
