--- a/src/control/crash_ledger.h
+++ b/src/control/crash_ledger.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "src/admission/crash_book.h"
+#include "src/admission/crash_history.h"
 #include "src/fleet/revision_table.h"
 
 namespace stoat::control {
@@ -67,7 +67,7 @@
     return true;
   }
 
-  admission::CrashBook crash_book_;
+  admission::CrashHistory crash_book_;
   fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>> suspects_;
   std::set<uint64_t> changed_;
 };
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_knowledge.cc
@@ -109,7 +109,7 @@
     return 0;
   }
   const double unheard = static_cast<double>(routers_.count_unheard(following_routers_, now)) +
-                         admission::kAlonePart * static_cast<double>(silent_routers_.size());
+                         admission::kDisconnectedRateFraction * static_cast<double>(silent_routers_.size());
   return unheard / static_cast<double>(total);
 }
 
--- a/src/control/fleet_knowledge.h
+++ b/src/control/fleet_knowledge.h
@@ -12,7 +12,7 @@
 #include <tuple>
 #include <vector>
 
-#include "src/admission/quota_book.h"
+#include "src/admission/quota_ledger.h"
 #include "src/common/time.h"
 #include "src/control/cache_assignment.h"
 #include "src/control/cache_duty.h"
@@ -136,7 +136,7 @@
   const LoadBook& loads() const { return loads_; }
   const LimitBook& limits() const { return limits_; }
   const CacheMirror& caches() const { return caches_; }
-  const admission::QuotaBook& quotas() const { return quotas_; }
+  const admission::QuotaLedger& quotas() const { return quotas_; }
   /// Tenants for which metering has started or stopped since the last call.
   std::vector<fleet::QuotaLevel> take_quota_changes() { return quotas_.take_changes(); }
   /// The zone of another member; empty if no update from it has arrived.
@@ -188,7 +188,7 @@
   LoadBook loads_;
   LimitBook limits_;
   CrashLedger crashes_;
-  admission::QuotaBook quotas_;
+  admission::QuotaLedger quotas_;
   rollout::AnswerAggregator answers_;
   CacheDuty cache_duty_;
   /// Routers that followed this member, and when they fell silent.
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 #include "src/common/log.h"
 #include "src/common/metrics.h"
 #include "src/common/settings.h"
@@ -283,7 +283,7 @@
   TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
   CacheWatch cache_watch_;
   WeightRollout weight_rollout_;
-  admission::PermitBook permit_book_;                     ///< valid while this member leads
+  admission::PermitIssuer permit_book_;                   ///< valid while this member leads
   std::map<uint64_t, RolloutProgress> rollout_progress_;  ///< by rollout id; only rollouts not yet final
   rollout::RouterConfirmations router_confirmations_;
   std::map<uint64_t, uint64_t> seen_steps_;  ///< by rollout id: newest step seen
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -17,7 +17,7 @@
 #include "src/fleet/backend_record.h"
 #include "src/fleet/fleet_messages.h"
 #include "src/placement/first_event_model.h"
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 
 namespace stoat::dispatch {
 
@@ -48,7 +48,7 @@
   fleet::BackendLoad published;     ///< own part of it, as last published
   uint32_t others_outstanding = 0;  ///< requests of other routers: all_routers less published
   uint64_t others_prefill_tokens = 0;
-  placement::ChainMemory memory;
+  placement::KvCacheEstimate memory;
   placement::EngineSpeed speed;
   BackendBackoff backoff;
   TimePoint last_received_at{0};             ///< when this router last received data from it
--- a/src/dispatch/request_crashes.cc
+++ b/src/dispatch/request_crashes.cc
@@ -34,7 +34,7 @@
   const TimePoint now = context_.loop.now();
   const std::string key = admission::trial_key(fingerprint_);
   if (context_.limits.per_second(key) <= 0) {
-    context_.limits.note_told({key, kTrialsPerSecond}, now);
+    context_.limits.apply_shared_limit({key, kTrialsPerSecond}, now);
   }
   if (context_.limits.may_send(key, now)) {
     return false;
@@ -99,7 +99,7 @@
 }
 
 void RequestRun::clear_crash_suspicion() {
-  if (context_.crashes.acquit(fingerprint_, context_.loop.now())) {
+  if (context_.crashes.clear_crashes(fingerprint_, context_.loop.now())) {
     context_.limits.forget(admission::trial_key(fingerprint_));
     context_.note_standing(fingerprint_, "good end");
   }
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -34,7 +34,7 @@
 std::optional<TimePoint> RequestRun::earliest_permit_time(const std::vector<std::string>& limited) const {
   std::optional<TimePoint> first;
   for (size_t position = 0; position < std::min(kMaxPermitRequests, limited.size()); ++position) {
-    const auto chance = context_.limits.next_chance(limited[position], context_.loop.now());
+    const auto chance = context_.limits.earliest_send_time(limited[position], context_.loop.now());
     if (!chance) {
       return std::nullopt;
     }
@@ -85,9 +85,9 @@
   }
   std::optional<admission::LimitChange> change;
   if (reading.kind == NumberReading::Kind::kPresent) {
-    change = context_.limits.note_named(backend, reading.value, now);
+    change = context_.limits.record_reported_limit(backend, reading.value, now);
   } else if (reading.kind == NumberReading::Kind::kNone && kind_ != ResponseKind::kNotRun) {
-    change = context_.limits.note_unnamed(backend, sent_at_);
+    change = context_.limits.record_response_without_limit(backend, sent_at_);
   }
   if (change && context_.stories.take_lines(1, "limit changed", now)) {
     context_.stories.log().event(
--- a/src/dispatch/request_run.cc
+++ b/src/dispatch/request_run.cc
@@ -104,7 +104,7 @@
 TimePoint RequestRun::wait_limit() const {
   // Applies also while no back end may take the request: one round of updates from the control plane reports
   // back ends that have joined or are usable again.
-  const TimePoint usual = admission::wait_limit(times(), context_.load_limits);
+  const TimePoint usual = admission::wait_limit(times(), context_.admission_thresholds);
   if (context_.pool.count(plan_.service) > 0) {
     return usual;
   }
--- a/src/dispatch/request_run.h
+++ b/src/dispatch/request_run.h
@@ -9,11 +9,11 @@
 #include <string>
 
 #include "src/admission/backend_limits.h"
-#include "src/admission/crash_book.h"
+#include "src/admission/crash_history.h"
 #include "src/admission/load_admission.h"
-#include "src/admission/quota_gate.h"
+#include "src/admission/quota_enforcer.h"
 #include "src/admission/request_queue.h"
-#include "src/admission/return_schedule.h"
+#include "src/admission/retry_scheduler.h"
 #include "src/common/log.h"
 #include "src/common/metrics.h"
 #include "src/common/random.h"
@@ -28,7 +28,7 @@
 #include "src/fleet/fleet_messages.h"
 #include "src/fleet/version_history.h"
 #include "src/placement/cache_namespace.h"
-#include "src/placement/plain_placement.h"
+#include "src/placement/nearest_placement.h"
 #include "src/rollout/answer_counter.h"
 #include "src/rollout/service_versions.h"
 #include "src/routing/route_table.h"
@@ -84,17 +84,18 @@
   placement::PlacementCosts costs = {};
   std::map<std::string, placement::ServiceSpeed> speeds = {};             ///< by service
   std::map<std::string, admission::RequestQueue> queues = {};             ///< by service
-  std::map<std::string, admission::ReturnSchedule> retry_schedules = {};  ///< by service
-  admission::LoadLimits load_limits = {};
+  std::map<std::string, admission::RetryScheduler> retry_schedules = {};  ///< by service
+  admission::AdmissionThresholds admission_thresholds = {};
   Duration longest_return = 10s;  ///< upper limit of the Retry-After of requests refused for load
-  std::map<std::string, placement::WorkTime> call_times = {};  ///< of requests without a prompt, by service
-  admission::QuotaGate quotas{{}, 0};
+  std::map<std::string, placement::CallDuration> call_times =
+      {};  ///< of requests without a prompt, by service
+  admission::QuotaEnforcer quotas{{}, 0};
   /// End of the start-up phase, in which a service without known back ends may still have some.
   TimePoint starts_until{0};
   admission::BackendLimits limits = {};
   /// Asks the control plane for the permits that requests need (see BackendLimits::want).
   std::function<void()> ask_for_permits = [] {};
-  admission::CrashBook crashes{};
+  admission::CrashHistory crashes{};
   /// Logs that the crash history of a request has changed. `request`: its fingerprint. `source`: the cause.
   std::function<void(uint64_t request, const char* source)> note_standing = [](uint64_t, const char*) {};
   rollout::ServiceVersions versions = {};
@@ -236,13 +237,13 @@
   std::vector<BackendPtr> cache_sources_in_subset(size_t candidates) const;
   /// Ready back ends of the subset.
   std::vector<BackendPtr> ready_in_subset() const;
-  placement::EngineView view_of(const Backend& backend, double usual_others) const;
-  /// The known load of a back end. `usual_others`: see EngineQueue.
-  placement::EngineQueue queue_of(const Backend& backend, double usual_others) const;
+  placement::EngineView view_of(const Backend& backend, double mean_others_outstanding) const;
+  /// The known load of a back end. `mean_others_outstanding`: see EngineQueue.
+  placement::EngineQueue queue_of(const Backend& backend, double mean_others_outstanding) const;
   /// Mean number of other routers' requests per ready back end of the subset.
-  double usual_others() const;
+  double mean_others_outstanding() const;
   /// Records the forecast for the attempt that is about to be sent.
-  void expect_first_event(double usual_others);
+  void expect_first_event(double mean_others_outstanding);
   /// Updates the latency model with the first event from backend_.
   void observe_first_event_latency();
   /// Updates the latency model with how long the completed run at backend_ occupied a slot.
@@ -276,8 +277,8 @@
   Duration compute_retry_after(Duration wait);
   /// Chooses one of the candidates, of which there is at least one, and sends the request there.
   void dispatch(const std::vector<BackendPtr>& candidates);
-  /// Sends the request on an idle or a new connection. `usual_others`: see EngineQueue.
-  void send_to(const BackendPtr& backend, CachePlan cache, double usual_others);
+  /// Sends the request on an idle or a new connection. `mean_others_outstanding`: see EngineQueue.
+  void send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding);
   /// Adds the prompt tokens that the engine has to prefill for this request to its pending ones.
   void add_pending_prefill(const CachePlan& cache);
   /// Records that the engine, and the store that it writes to, now hold the prompt's shared parts, and
@@ -296,10 +297,10 @@
   const BackendPtr& choose_without_prompt(const std::vector<BackendPtr>& candidates,
                                           const std::vector<placement::EngineView>& views);
   /// Plans the KV cache transfers of an attempt at `target`. `holder`: the engine to load from, or nullptr;
-  /// `store`: the store of the prompt chain, or nullptr. `store_pays`: loading the shared parts from the
-  /// store is expected to be faster than prefilling them.
+  /// `store`: the store of the prompt chain, or nullptr. `worth_taking_from_store`: loading the shared parts
+  /// from the store is expected to be faster than prefilling them.
   CachePlan plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
-                       bool store_pays) const;
+                       bool worth_taking_from_store) const;
   /// Location of a store; if it is not configured, a zone of its own.
   topology::MachineLocation place_of_store(const std::string& address) const;
   /// Counts the network distances of the attempt and of its KV cache source, and adds them to the log event.
--- a/src/dispatch/request_run_admission.cc
+++ b/src/dispatch/request_run_admission.cc
@@ -33,7 +33,7 @@
   // that can meet its deadline that way is not refused.
   const uint32_t own_tokens =
       chain_.prompt_tokens - std::min(chain_.prompt_tokens, placement::shared_tokens(chain_));
-  const double others = usual_others();
+  const double others = mean_others_outstanding();
   double wait_ms = std::numeric_limits<double>::max();
   double answer_ms = 0;
   double taken = 0;
@@ -43,9 +43,9 @@
     const auto forecast = placement::expect_first_event(speed, backend->speed, queue, own_tokens);
     if (forecast.wait_ms() < wait_ms) {
       wait_ms = forecast.wait_ms();
-      answer_ms = forecast.reading_ms + forecast.base_ms;
+      answer_ms = forecast.prefill_ms + forecast.base_ms;
     }
-    taken += placement::present_outstanding(queue, speed.run_ms());
+    taken += placement::estimate_outstanding(queue, speed.run_ms());
     slots += queue.slots;
   }
   return {from_fractional_ms(wait_ms), from_fractional_ms(answer_ms),
@@ -54,8 +54,8 @@
 
 bool RequestRun::has_room() const {
   const std::vector<BackendPtr> found = candidates();
-  return !found.empty() && admission::decide(times(), outlook(found), context_.load_limits,
-                                             context_.loop.now()) == admission::Verdict::kSend;
+  return !found.empty() && admission::decide(times(), outlook(found), context_.admission_thresholds,
+                                             context_.loop.now()) == admission::AdmissionVerdict::kSend;
 }
 
 void RequestRun::log_waiting() {
@@ -79,16 +79,17 @@
   const bool wait_expired = now >= wait_deadline_;
   const admission::ServiceOutlook known = outlook(candidates);
   if (known.answer > Duration(0) && queue_number_ == 0) {
-    context_.speeds[plan_.service].note_answer(to_fractional_ms(known.answer));
+    context_.speeds[plan_.service].record_expected_answer(to_fractional_ms(known.answer));
   }
-  const admission::Verdict verdict = admission::decide(times(), known, context_.load_limits, now);
-  if (verdict == admission::Verdict::kRefuse) {
+  const admission::AdmissionVerdict verdict =
+      admission::decide(times(), known, context_.admission_thresholds, now);
+  if (verdict == admission::AdmissionVerdict::kRefuse) {
     refuse_for_load(known);
     return;
   }
   admission::RequestQueue& queue = context_.queues[plan_.service];
-  const bool is_next = wait_expired || (queue_number_ == 0 && queue.nothing_before(urgency()));
-  if (verdict == admission::Verdict::kSend && is_next) {
+  const bool is_next = wait_expired || (queue_number_ == 0 && queue.none_as_urgent(urgency()));
+  if (verdict == admission::AdmissionVerdict::kSend && is_next) {
     leave_queue();
     dispatch(candidates);
     return;
@@ -156,7 +157,7 @@
   admission::RefusedRequest request;
   request.tenant = plan_.tenant == nullptr ? "" : plan_.tenant->name;
   request.time_left = deadline_ - context_.loop.now();
-  request.first_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
+  request.time_to_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
   auto& schedule = context_.retry_schedules.try_emplace(plan_.service, context_.longest_return).first->second;
   return schedule.book(request, per_second / std::max(1U, context_.router_count), context_.random,
                        context_.loop.now());
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-placement::EngineView RequestRun::view_of(const Backend& backend, double usual_others) const {
+placement::EngineView RequestRun::view_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineView view;
   view.name_hash = backend.name_hash;
   view.memory = &backend.memory;
@@ -33,10 +33,11 @@
   const placement::ServiceSpeed& service = context_.speeds[plan_.service];
   view.ms_per_token = service.ms_per_token() * backend.speed.slowness();
   view.wait_ms =
-      placement::expect_first_event(service, backend.speed, queue_of(backend, usual_others), 0).wait_ms();
+      placement::expect_first_event(service, backend.speed, queue_of(backend, mean_others_outstanding), 0)
+          .wait_ms();
   view.place = backend.place;
   view.distance = topology::distance(context_.place, backend.place);
-  view.old_weights = outdated_for(backend).value_or(Duration(0)) > kOldWeightsGracePeriod;
+  view.has_outdated_weights = outdated_for(backend).value_or(Duration(0)) > kOldWeightsGracePeriod;
   // An unreachable source would delay the request.
   view.sound = context_.pool.is_sound(backend);
   return view;
@@ -46,7 +47,7 @@
   std::vector<placement::EngineView> views;
   std::vector<BackendPtr> engines = candidates;
   views.reserve(candidates.size());
-  const double others = usual_others();
+  const double others = mean_others_outstanding();
   for (const BackendPtr& backend : candidates) {
     views.push_back(view_of(*backend, others));
   }
@@ -72,12 +73,12 @@
   }
   if (const fleet::Service* service = plan_.table->service(plan_.service)) {
     const fleet::Service* stored = store == nullptr ? nullptr : plan_.table->store_at(store->address);
-    costs.moves = placement::move_costs(service->engine, stored);
+    costs.moves = placement::make_transfer_costs(service->engine, stored);
   }
   const placement::Placement placed =
       placement::place(chain_, views, store == nullptr ? nullptr : &store_view, costs, context_.loop.now());
   const BackendPtr holder = placed.source ? engines[*placed.source] : nullptr;
-  CachePlan cache = plan_cache(*engines[placed.target], holder.get(), store, placed.store_pays);
+  CachePlan cache = plan_cache(*engines[placed.target], holder.get(), store, placed.worth_taking_from_store);
   cache.candidates = static_cast<uint32_t>(candidates.size());
   send_to(engines[placed.target], std::move(cache), others);
 }
@@ -104,7 +105,7 @@
 }
 
 CachePlan RequestRun::plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
-                                 bool store_pays) const {
+                                 bool worth_taking_from_store) const {
   CachePlan plan;
   const TimePoint now = context_.loop.now();
   const uint64_t weights = target.record.version_of(plan_.fields.model);
@@ -114,8 +115,8 @@
   // The store is the source even if it is not known to hold the prompt: an engine loads only what it lacks,
   // and a miss costs a millisecond. If loading from the store takes longer than prefilling, nothing is
   // written to it either.
-  const bool store_useful = store_pays && shared >= kMinStoredTokens;
-  const bool surely_held = holder != nullptr && holder->memory.surely_holds(chain_, weights, now);
+  const bool store_useful = worth_taking_from_store && shared >= kMinStoredTokens;
+  const bool surely_held = holder != nullptr && holder->memory.certainly_holds(chain_, weights, now);
   if (store_useful && (holder == nullptr || (stored && !surely_held))) {
     plan.source = store_address;
     plan.source_place = place_of_store(store_address);
@@ -255,11 +256,11 @@
   context_.metrics.count("stoat_router_copies_used_total");
   CachePlan cache;
   cache.resume_from = origin.record.address + "/" + plan_.fields.id;
-  send_to(std::exchange(backup_, nullptr), cache, usual_others());
+  send_to(std::exchange(backup_, nullptr), cache, mean_others_outstanding());
   return true;
 }
 
-void RequestRun::send_to(const BackendPtr& backend, CachePlan cache, double usual_others) {
+void RequestRun::send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding) {
   const TimePoint now = context_.loop.now();
   const auto connection = context_.pool.take_connection(backend);
   tried_.insert(backend->record.id);
@@ -298,7 +299,7 @@
     add_pending_prefill(cache);
   }
   sent_at_ = now;
-  expect_first_event(usual_others);
+  expect_first_event(mean_others_outstanding);
   record_rollout_send();
   sent.missing_tokens = pending_prefill_tokens_;
   sent.expected_ms = std::llround(expected_->forecast.total_ms());
@@ -345,7 +346,7 @@
   if (placement.links.empty()) {
     return;
   }
-  const bool known = backend_->memory.seen_since(chain_, run_weights_, now, kReannounceInterval);
+  const bool known = backend_->memory.observed_within(chain_, run_weights_, now, kReannounceInterval);
   backend_->memory.note_held(placement.links, run_weights_, now);
   if (!known) {
     context_.tell_placement(placement);
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -23,7 +23,7 @@
     pool_.forget_totals();
     pool_.forget_holdings();
     context_.stores.forget_holdings();
-    context_.quotas.begin_feed();
+    context_.quotas.on_member_change();
   }
   for (const fleet::QuotaLevel& level : news.quotas) {
     context_.quotas.on_level(level);
@@ -79,7 +79,7 @@
 
 void GatewayServer::take_limits(const std::vector<fleet::BackendLimit>& limits) {
   for (const fleet::BackendLimit& limit : limits) {
-    const auto change = context_.limits.note_told(limit, loop_.now());
+    const auto change = context_.limits.apply_shared_limit(limit, loop_.now());
     if (change && stories_.take_lines(1, "limit changed", loop_.now())) {
       log_.event(events::BackendLimitChanged{change->backend, change->per_second, change->before, "control"});
     }
@@ -95,7 +95,7 @@
     if (!link_.has_leader()) {
       return;
     }
-    const fleet::PermitRequest question = context_.limits.take_question(loop_.now());
+    const fleet::PermitRequest question = context_.limits.take_permit_request(loop_.now());
     if (!question.wishes.empty()) {
       link_.send_to_leader(question);
     }
@@ -109,8 +109,9 @@
 
 void GatewayServer::tell_loads() {
   std::vector<fleet::BackendLoad> loads = pool_.own_loads();
-  if (loads_told_ && loads == told_loads_ && untold_unreachable_.empty() && !context_.quotas.has_untold() &&
-      !context_.answers.has_changes() && !context_.limits.has_untold() && !context_.crashes.has_changes()) {
+  if (loads_told_ && loads == told_loads_ && untold_unreachable_.empty() &&
+      !context_.quotas.has_unreported() && !context_.answers.has_changes() &&
+      !context_.limits.has_unreported() && !context_.crashes.has_changes()) {
     return;
   }
   fleet::RouterLoads message{settings_.name, loads, {}};
@@ -118,7 +119,7 @@
   if (!link_.has_feed()) {
     return;
   }
-  admission::NumberedSpending spending = context_.quotas.take_untold();
+  admission::NumberedSpending spending = context_.quotas.take_unreported();
   message.spending = std::move(spending.spending);
   message.spending_sequence = spending.number;
   message.start_id = start_id_;
@@ -127,7 +128,7 @@
   if (!loads_told_) {
     message.crashes = context_.crashes.all(loop_.now());
   }
-  message.limits = context_.limits.take_untold(!loads_told_);
+  message.limits = context_.limits.take_unreported(!loads_told_);
   message.answers = loads_told_ ? context_.answers.take_changes() : context_.answers.take_all();
   if (link_.send_to_feed(message)) {
     loads_told_ = true;
@@ -175,7 +176,8 @@
   }
 }
 
-void GatewayServer::apply_changes(const fleet::CacheChanges& changes, placement::ChainMemory& memory) const {
+void GatewayServer::apply_changes(const fleet::CacheChanges& changes,
+                                  placement::KvCacheEstimate& memory) const {
   memory.follow(changes.followed ? &events_trust_ : nullptr);
   if (changes.anew) {
     memory.forget_holdings();
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -88,8 +88,8 @@
           [this](const fleet::FleetFeedUpdate& news) { on_news(news); }),
       edge_(loop, settings.listen, *this, settings.hold) {
   context_.random = Random(seed_from_device());
-  context_.quotas = admission::QuotaGate(settings.quotas, seed_from_device());
-  context_.crashes = admission::CrashBook(settings.quarantine);
+  context_.quotas = admission::QuotaEnforcer(settings.quotas, seed_from_device());
+  context_.crashes = admission::CrashHistory(settings.quarantine);
   context_.note_standing = [this](uint64_t request, const char* source) { log_standing(request, source); };
   context_.starts_until = loop.now() + settings.start_wait;
   context_.ask_for_permits = [this] { ask_for_permits(); };
@@ -100,7 +100,7 @@
   context_.budget_options = settings.budget;
   context_.sharing_routers = delivery::SharingRouters(settings.routers_settle);
   context_.old_weights_limit = settings.old_weights_limit;
-  context_.load_limits.useful_queue = settings.useful_engine_queue;
+  context_.admission_thresholds.max_useful_engine_queue = settings.useful_engine_queue;
   context_.longest_return = settings.longest_retry_after;
   pool_.set_probe_handler([this](const dispatch::BackendPtr& backend, dispatch::ProbeResult result) {
     on_probe_ended(backend, result);
@@ -142,11 +142,11 @@
 }
 
 void GatewayServer::log_limit_use() {
-  std::vector<admission::LimitUse> uses = context_.limits.take_use();
+  std::vector<admission::LimitUsage> uses = context_.limits.take_usage();
   if (uses.size() > kMostLimitLines) {
     uses.resize(kMostLimitLines);
   }
-  for (const admission::LimitUse& use : uses) {
+  for (const admission::LimitUsage& use : uses) {
     log_.event(events::LimitedBackendUsed{use.backend, use.per_second, use.sent,
                                           to_milliseconds(kLimitUseInterval)});
   }
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -109,7 +109,7 @@
   void log_standing(uint64_t request, const char* source);
   /// Forgets what is long ago, and tells the metrics what is known.
   void keep_crashes();
-  void apply_changes(const fleet::CacheChanges& changes, placement::ChainMemory& memory) const;
+  void apply_changes(const fleet::CacheChanges& changes, placement::KvCacheEstimate& memory) const;
   /// Keeps a placement for the other routers, which hear of it a little later.
   void tell_placement(fleet::ChainPlacement placement);
   void take_configuration(const fleet::FleetConfiguration& configuration);
@@ -145,13 +145,13 @@
   Logger log_{"router"};
   Metrics metrics_;
   events::StoryBook stories_;
-  placement::EventTrust events_trust_;  ///< of all caches that the feed tells of
+  placement::EventValidity events_trust_;  ///< of all caches that the feed tells of
   dispatch::BackendPool pool_;
   uint64_t start_id_ = 0;                  ///< of this process
   std::map<uint64_t, bool> others_ended_;  ///< by id of an order: no request runs at other versions, as told
   dispatch::DispatchContext context_;
   std::shared_ptr<const routing::RouteTable> table_;
-  routing::SplitChooser splits_;
+  routing::TrafficSplitter splits_;
   std::set<std::string> untold_backends_;       ///< known ones that a new feed has not told of yet
   bool feed_begun_ = false;                     ///< a feed's first whole is not complete yet
   bool quotas_known_ = false;                   ///< a feed has told which quotas are metered
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "src/admission/backend_limits.h"
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 #include "src/common/random.h"
 #include "tests/support/delayed_actions.h"
 
@@ -49,7 +49,7 @@
   void restart_router(size_t index) {
     Router& router = routers_[index];
     router.limits = std::make_unique<admission::BackendLimits>();
-    router.limits->note_told({"b", options_.limit}, now_);
+    router.limits->apply_shared_limit({"b", options_.limit}, now_);
     router.next_request = now_ + from_seconds(random_.exponential(1 / options_.demand));
     ++router.start;
   }
@@ -73,7 +73,7 @@
  private:
   static constexpr Duration kStep = 5ms;
   struct Leader {
-    admission::PermitBook book;
+    admission::PermitIssuer book;
     TimePoint grants_until = TimePoint::max();
   };
   struct Router {
@@ -114,7 +114,7 @@
     }
   }
   void ask(size_t index) {
-    const fleet::PermitRequest question = routers_[index].limits->take_question(now_);
+    const fleet::PermitRequest question = routers_[index].limits->take_permit_request(now_);
     // Some routers still take a former leader for the present one.
     const size_t leader = random_.chance(0.5) ? leaders_.size() - 1 : random_.below(leaders_.size());
     const uint64_t start = routers_[index].start;
--- a/tests/unit/cache_watch_test.cc
+++ b/tests/unit/cache_watch_test.cc
@@ -5,7 +5,7 @@
 
 #include "src/dispatch/store_set.h"
 #include "src/placement/cache_namespace.h"
-#include "src/placement/chain_memory.h"
+#include "src/placement/kv_cache_estimate.h"
 
 namespace stoat {
 namespace {
@@ -190,8 +190,8 @@
  protected:
   static constexpr uint64_t kWeights = 3;
   placement::PromptChain chain_{{{1, 1000}, {2, 500}, {3, 70}}, 1570};
-  placement::EventTrust trust_{3600s};
-  placement::ChainMemory memory_;
+  placement::EventValidity trust_{3600s};
+  placement::KvCacheEstimate memory_;
 };
 
 TEST_F(ChainMemoryTest, WithEventsOnlyReportedHoldingsCount) {
@@ -201,7 +201,7 @@
   memory_.set_holding(1, kWeights, 1000);
   memory_.set_holding(2, kWeights, 500);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 60s), 1500U);
-  EXPECT_TRUE(memory_.surely_holds(chain_, kWeights, 60s));
+  EXPECT_TRUE(memory_.certainly_holds(chain_, kWeights, 60s));
 }
 
 TEST_F(ChainMemoryTest, PartiallyDroppedPartEndsTheUsablePrefix) {
@@ -210,7 +210,7 @@
   memory_.set_holding(2, kWeights, 500);
   memory_.set_holding(1, kWeights, 640);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 640U);
-  EXPECT_FALSE(memory_.surely_holds(chain_, kWeights, 1s));
+  EXPECT_FALSE(memory_.certainly_holds(chain_, kWeights, 1s));
 }
 
 TEST_F(ChainMemoryTest, DropEventOverridesARecentObservation) {
