--- a/src/dispatch/request_run.h
+++ b/src/dispatch/active_request.h
@@ -18,7 +18,7 @@
 #include "src/common/metrics.h"
 #include "src/common/random.h"
 #include "src/delivery/event_splitter.h"
-#include "src/delivery/window_budget.h"
+#include "src/delivery/retry_budget.h"
 #include "src/dispatch/backend_pool.h"
 #include "src/dispatch/request_fields.h"
 #include "src/dispatch/store_set.h"
@@ -67,17 +67,17 @@
   topology::Topology topology = {};
   topology::MachineLocation place = {};  ///< location of this router
   uint32_t router_count = 1;
-  delivery::SharingRouters sharing_routers{10s};  ///< share the fixed part of the retry budget
+  delivery::RouterCountEstimate router_count_estimate{10s};  ///< share the fixed part of the retry budget
   /// Engines with older weights are no longer used after this time since the newer version was announced.
-  Duration old_weights_limit = 6s;
-  delivery::WindowBudgetOptions budget_options = {};
-  std::map<std::string, delivery::WindowBudget> budgets = {};  ///< retry budgets by service
-  fleet::TargetWeights wanted = {};                            ///< announced weights versions by model
+  Duration old_weights_timeout = 6s;
+  delivery::RetryBudgetOptions budget_options = {};
+  std::map<std::string, delivery::RetryBudget> budgets = {};  ///< retry budgets by service
+  fleet::TargetWeights wanted = {};                           ///< announced weights versions by model
   StoreSet stores = {};
   /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
-  std::function<void(fleet::ChainPlacement)> tell_placement = [](const fleet::ChainPlacement&) {};
+  std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
   /// Reports to the control plane that a back end could not be reached.
-  std::function<void(const std::string&)> tell_unreachable = [](const std::string&) {};
+  std::function<void(const std::string&)> report_unreachable = [](const std::string&) {};
   /// Confirms as crashes the broken exchanges at a back end that ended without deregistering. `sign` names
   /// how this was detected: "refused", "gone" or "lost".
   std::function<void(Backend&, const char* sign)> note_crash = [](Backend&, const char*) {};
@@ -86,22 +86,23 @@
   std::map<std::string, admission::RequestQueue> queues = {};             ///< by service
   std::map<std::string, admission::RetryScheduler> retry_schedules = {};  ///< by service
   admission::AdmissionThresholds admission_thresholds = {};
-  Duration longest_return = 10s;  ///< upper limit of the Retry-After of requests refused for load
+  Duration max_retry_after = 10s;  ///< upper limit of the Retry-After of requests refused for load
   std::map<std::string, placement::CallDuration> call_times =
       {};  ///< of requests without a prompt, by service
   admission::QuotaEnforcer quotas{{}, 0};
   /// End of the start-up phase, in which a service without known back ends may still have some.
-  TimePoint starts_until{0};
+  TimePoint startup_ends_at{0};
   admission::BackendLimits limits = {};
   /// Asks the control plane for the permits that requests need (see BackendLimits::want).
-  std::function<void()> ask_for_permits = [] {};
+  std::function<void()> request_permits = [] {};
   admission::CrashHistory crashes{};
   /// Logs that the crash history of a request has changed. `request`: its fingerprint. `source`: the cause.
-  std::function<void(uint64_t request, const char* source)> note_standing = [](uint64_t, const char*) {};
+  std::function<void(uint64_t request, const char* source)> log_standing_change = [](uint64_t, const char*) {
+  };
   rollout::ServiceVersions versions = {};
   rollout::AnswerCounter answers = {};  ///< responses of services with a rollout in progress
 
-  delivery::WindowBudget& budget_of(const std::string& service) {
+  delivery::RetryBudget& budget_of(const std::string& service) {
     return budgets.try_emplace(service, budget_options).first->second;
   }
 };
@@ -111,7 +112,7 @@
 void note_survival(DispatchContext& context, Backend& backend, TimePoint sent_at);
 
 /// An accepted request with its resolved route, tenant and service: all that is fixed before it is sent.
-struct RunPlan {
+struct RoutedRequest {
   edge::CallerRequest request;
   RequestFields fields;
   std::shared_ptr<const routing::RouteTable> table;  ///< keeps route and tenant alive
@@ -151,14 +152,14 @@
 
 /// See the head of this file. Lives until its final response or the caller's disconnect; on_done is then
 /// called.
-class RequestRun : public ExchangeListener, public std::enable_shared_from_this<RequestRun> {
+class ActiveRequest : public ExchangeListener, public std::enable_shared_from_this<ActiveRequest> {
  public:
-  using DoneHandler = std::function<void(RequestRun*)>;
-  RequestRun(DispatchContext& context, RunPlan plan, std::shared_ptr<edge::CallerAnswer> answer,
-             DoneHandler on_done);
-  ~RequestRun() override;
-  RequestRun(const RequestRun&) = delete;
-  RequestRun& operator=(const RequestRun&) = delete;
+  using DoneHandler = std::function<void(ActiveRequest*)>;
+  ActiveRequest(DispatchContext& context, RoutedRequest plan, std::shared_ptr<edge::CallerAnswer> answer,
+                DoneHandler on_done);
+  ~ActiveRequest() override;
+  ActiveRequest(const ActiveRequest&) = delete;
+  ActiveRequest& operator=(const ActiveRequest&) = delete;
 
   void start();
   /// Ends the request without a response, for instance when the caller has disconnected, and cancels it at
@@ -364,7 +365,7 @@
   void finish_request(const char* outcome, int status);
 
   DispatchContext& context_;
-  RunPlan plan_;
+  RoutedRequest plan_;
   std::shared_ptr<edge::CallerAnswer> answer_;
   DoneHandler on_done_;
   event* timer_ = nullptr;
--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -121,7 +121,7 @@
   }
 }
 
-void BackendPool::set_told_loads(const std::vector<fleet::BackendLoad>& loads) {
+void BackendPool::set_published_loads(const std::vector<fleet::BackendLoad>& loads) {
   for (const BackendPtr& backend : std::exchange(published_, {})) {
     backend->published = {};
   }
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -85,9 +85,9 @@
   /// Sets the load of all routers together at a back end, this router's included.
   void set_total_load(const fleet::BackendLoad& load);
   /// Records the own loads that this router has published. The totals will include them soon.
-  void set_told_loads(const std::vector<fleet::BackendLoad>& loads);
+  void set_published_loads(const std::vector<fleet::BackendLoad>& loads);
   /// Marks the totals as current: the control member that reports them is connected and sends all changes.
-  void note_totals_told(TimePoint now) { totals_updated_at_ = now; }
+  void note_totals_current(TimePoint now) { totals_updated_at_ = now; }
   /// Time since the totals were last current.
   Duration total_load_age(TimePoint now) const { return now - std::min(now, totals_updated_at_); }
   /// Clears the totals, before another control member reports them.
--- a/src/dispatch/request_run_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -1,8 +1,8 @@
-/// RequestRun: load admission. Decides whether a request is sent, waits for a slot, or is refused.
+/// ActiveRequest: load admission. Decides whether a request is sent, waits for a slot, or is refused.
 #include <algorithm>
 #include <limits>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-uint32_t RequestRun::urgency() const {
+uint32_t ActiveRequest::urgency() const {
   const uint32_t tenant_priority = plan_.tenant == nullptr ? 0 : plan_.tenant->priority;
   return std::min(kMaxUrgency, tenant_priority * kRoutePriorities + plan_.route->priority);
 }
 
-admission::RequestTimes RequestRun::times() const { return {plan_.arrived, deadline_}; }
+admission::RequestTimes ActiveRequest::times() const { return {plan_.arrived, deadline_}; }
 
-admission::ServiceOutlook RequestRun::outlook(const std::vector<BackendPtr>& candidates) const {
+admission::ServiceOutlook ActiveRequest::outlook(const std::vector<BackendPtr>& candidates) const {
   const auto free = [](const BackendPtr& backend) { return backend->has_free_slot(); };
   if (std::any_of(candidates.begin(), candidates.end(), free)) {
     return {};
@@ -52,13 +52,13 @@
           from_fractional_ms(speed.long_answer_ms()), taken / slots};
 }
 
-bool RequestRun::has_room() const {
+bool ActiveRequest::has_room() const {
   const std::vector<BackendPtr> found = candidates();
   return !found.empty() && admission::decide(times(), outlook(found), context_.admission_thresholds,
                                              context_.loop.now()) == admission::AdmissionVerdict::kSend;
 }
 
-void RequestRun::log_waiting() {
+void ActiveRequest::log_waiting() {
   events::RequestWaits waits;
   for (const BackendPtr& backend : ready_in_subset()) {
     ++waits.known;
@@ -69,7 +69,7 @@
   story_.add(waits);
 }
 
-void RequestRun::admit(const std::vector<BackendPtr>& candidates) {
+void ActiveRequest::admit(const std::vector<BackendPtr>& candidates) {
   // A retry of a request that an engine may have begun, such as a stream to be continued, is not queued.
   if (executed_ != Executed::kNo) {
     dispatch(candidates);
@@ -98,7 +98,7 @@
   queue.send_ready();
 }
 
-void RequestRun::wait_for_slot(const admission::ServiceOutlook& known) {
+void ActiveRequest::wait_for_slot(const admission::ServiceOutlook& known) {
   const TimePoint now = context_.loop.now();
   waiting_ = true;
   arm_timer(std::min(now + kSlotPollInterval, wait_deadline_));
@@ -123,7 +123,7 @@
                                        }});
 }
 
-void RequestRun::leave_queue() {
+void ActiveRequest::leave_queue() {
   waiting_ = false;
   if (queue_number_ == 0) {
     return;
@@ -134,13 +134,13 @@
                            {{"route", plan_.route->name}});
 }
 
-void RequestRun::refuse_for_load(const admission::ServiceOutlook& known) {
+void ActiveRequest::refuse_for_load(const admission::ServiceOutlook& known) {
   leave_queue();
   context_.metrics.count("stoat_router_load_refusals_total", {{"route", plan_.route->name}});
   reply_with_error(kUnavailable, "no engine can answer in time", to_seconds(compute_retry_after(known.wait)));
 }
 
-Duration RequestRun::compute_retry_after(Duration wait) {
+Duration ActiveRequest::compute_retry_after(Duration wait) {
   const placement::ServiceSpeed& speed = context_.speeds[plan_.service];
   double per_second = 0;
   for (const BackendPtr& backend : ready_in_subset()) {
@@ -158,7 +158,8 @@
   request.tenant = plan_.tenant == nullptr ? "" : plan_.tenant->name;
   request.time_left = deadline_ - context_.loop.now();
   request.time_to_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
-  auto& schedule = context_.retry_schedules.try_emplace(plan_.service, context_.longest_return).first->second;
+  auto& schedule =
+      context_.retry_schedules.try_emplace(plan_.service, context_.max_retry_after).first->second;
   return schedule.book(request, per_second / std::max(1U, context_.router_count), context_.random,
                        context_.loop.now());
 }
--- a/src/dispatch/request_run_forecast.cc
+++ b/src/dispatch/request_forecast.cc
@@ -1,7 +1,7 @@
-/// RequestRun: forecasts the first event of an attempt, and updates the latency model with its outcome.
+/// ActiveRequest: forecasts the first event of an attempt, and updates the latency model with its outcome.
 #include <cmath>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-placement::EngineQueue RequestRun::queue_of(const Backend& backend, double mean_others_outstanding) const {
+placement::EngineQueue ActiveRequest::queue_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineQueue queue;
   queue.slots = backend.record.slots;
   queue.own_outstanding = backend.outstanding;
@@ -22,7 +22,7 @@
   return queue;
 }
 
-double RequestRun::mean_others_outstanding() const {
+double ActiveRequest::mean_others_outstanding() const {
   const std::vector<BackendPtr> serving = ready_in_subset();
   double sum = 0;
   for (const BackendPtr& backend : serving) {
@@ -31,7 +31,7 @@
   return serving.empty() ? 0 : sum / static_cast<double>(serving.size());
 }
 
-void RequestRun::expect_first_event(double mean_others_outstanding) {
+void ActiveRequest::expect_first_event(double mean_others_outstanding) {
   placement::EngineQueue queue = queue_of(*backend_, mean_others_outstanding);
   // Both already include this request.
   queue.own_outstanding -= queue.own_outstanding > 0 ? 1 : 0;
@@ -46,7 +46,7 @@
   expected_ = expected;
 }
 
-void RequestRun::observe_first_event_latency() {
+void ActiveRequest::observe_first_event_latency() {
   if (!expected_) {
     return;
   }
@@ -65,7 +65,7 @@
   service.observe_first_event(sample);
 }
 
-void RequestRun::observe_run_time() const {
+void ActiveRequest::observe_run_time() const {
   if (expected_ && expected_->slot_free) {
     context_.speeds[plan_.service].observe_run(to_fractional_ms(context_.loop.now() - sent_at_));
   }
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -1,8 +1,8 @@
-/// RequestRun: rate limits that back ends state in their responses, for all routers together.
+/// ActiveRequest: rate limits that back ends state in their responses, for all routers together.
 #include <algorithm>
 
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/rate_limit_header.h"
-#include "src/dispatch/request_run.h"
 #include "src/events/fleet_events.h"
 
 namespace stoat::dispatch {
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void RequestRun::request_candidate_permits(const Candidates& found) {
+void ActiveRequest::request_candidate_permits(const Candidates& found) {
   if (found.limited.empty()) {
     return;
   }
@@ -27,11 +27,11 @@
     ask = context_.limits.want(found.limited[position]->record.id, context_.loop.now()) || ask;
   }
   if (ask) {
-    context_.ask_for_permits();
+    context_.request_permits();
   }
 }
 
-std::optional<TimePoint> RequestRun::earliest_permit_time(const std::vector<std::string>& limited) const {
+std::optional<TimePoint> ActiveRequest::earliest_permit_time(const std::vector<std::string>& limited) const {
   std::optional<TimePoint> first;
   for (size_t position = 0; position < std::min(kMaxPermitRequests, limited.size()); ++position) {
     const auto chance = context_.limits.earliest_send_time(limited[position], context_.loop.now());
@@ -43,7 +43,7 @@
   return first;
 }
 
-void RequestRun::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
+void ActiveRequest::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
   const TimePoint now = context_.loop.now();
   const std::optional<TimePoint> chance = earliest_permit_time(limited);
   if (now < wait_deadline_ && chance.value_or(now) <= wait_deadline_) {
@@ -54,7 +54,7 @@
   reply_with_error(kUnavailable, reason, to_seconds(compute_retry_after(chance.value_or(now) - now)));
 }
 
-void RequestRun::spend_permit(const Backend& backend) {
+void ActiveRequest::spend_permit(const Backend& backend) {
   const std::string& id = backend.record.id;
   if (context_.limits.per_second(id) <= 0) {
     return;
@@ -68,7 +68,7 @@
   }
 }
 
-void RequestRun::note_rate_limit(const http1::Headers& headers) {
+void ActiveRequest::note_rate_limit(const http1::Headers& headers) {
   // A response from another incarnation at the same address, or an invalid one, says nothing about this back
   // end.
   if (head_.status == kMisdirected || kind_ == ResponseKind::kInvalid) {
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -1,11 +1,11 @@
-/// RequestRun: chooses the back end for a request, and builds and sends the request head.
+/// ActiveRequest: chooses the back end for a request, and builds and sends the request head.
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <unordered_set>
 #include <utility>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 #include "src/fleet/incarnation.h"
 
 namespace stoat::dispatch {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-placement::EngineView RequestRun::view_of(const Backend& backend, double mean_others_outstanding) const {
+placement::EngineView ActiveRequest::view_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineView view;
   view.name_hash = backend.name_hash;
   view.memory = &backend.memory;
@@ -43,7 +43,7 @@
   return view;
 }
 
-void RequestRun::dispatch(const std::vector<BackendPtr>& candidates) {
+void ActiveRequest::dispatch(const std::vector<BackendPtr>& candidates) {
   std::vector<placement::EngineView> views;
   std::vector<BackendPtr> engines = candidates;
   views.reserve(candidates.size());
@@ -83,7 +83,7 @@
   send_to(engines[placed.target], std::move(cache), others);
 }
 
-bool RequestRun::is_router_header(const std::string& name) const {
+bool ActiveRequest::is_router_header(const std::string& name) const {
   const HeaderNames& names = context_.names;
   const std::array<const std::string*, 12> own = {
       &names.credential, &names.tenant,  &names.deadline_ms, &names.expected_backend,
@@ -94,8 +94,8 @@
          http1::same_name(names.expected_weights, name) || http1::same_name(names.last_event_id, name);
 }
 
-const BackendPtr& RequestRun::choose_without_prompt(const std::vector<BackendPtr>& candidates,
-                                                    const std::vector<placement::EngineView>& views) {
+const BackendPtr& ActiveRequest::choose_without_prompt(const std::vector<BackendPtr>& candidates,
+                                                       const std::vector<placement::EngineView>& views) {
   const size_t chosen = placement::choose_nearest(views, context_.call_times[plan_.service].ms(),
                                                   context_.costs.ways, context_.random.bits());
   if (views[chosen].outstanding < views[chosen].slots) {
@@ -104,8 +104,8 @@
   return candidates[chosen];
 }
 
-CachePlan RequestRun::plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
-                                 bool worth_taking_from_store) const {
+CachePlan ActiveRequest::plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
+                                    bool worth_taking_from_store) const {
   CachePlan plan;
   const TimePoint now = context_.loop.now();
   const uint64_t weights = target.record.version_of(plan_.fields.model);
@@ -130,7 +130,7 @@
   return plan;
 }
 
-std::string RequestRun::request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const {
+std::string ActiveRequest::request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const {
   const HeaderNames& names = context_.names;
   std::string head = plan_.request.method + " " + plan_.request.target + " HTTP/1.1\r\n";
   const auto add = [&head](const std::string& name, const std::string& value) {
@@ -179,12 +179,12 @@
   return head + "\r\n";
 }
 
-bool RequestRun::may_hold_backup(const Backend& backend) const {
+bool ActiveRequest::may_hold_backup(const Backend& backend) const {
   return backend.record.state == fleet::BackendState::kReady && context_.pool.is_sound(backend) &&
          backend.backoff.may_send(backend.outstanding, context_.loop.now());
 }
 
-BackendPtr RequestRun::choose_backup(const Backend& target) const {
+BackendPtr ActiveRequest::choose_backup(const Backend& target) const {
   const fleet::Service* service = plan_.table->service(plan_.service);
   const bool wanted = plan_.route->kind == fleet::RouteKind::kStreaming && !plan_.route->resumable;
   if (!wanted || service == nullptr || !service->engine.backups) {
@@ -211,7 +211,7 @@
   return best;
 }
 
-const char* RequestRun::backup_unusable_reason(const Backend& origin) const {
+const char* ActiveRequest::backup_unusable_reason(const Backend& origin) const {
   const std::string& model = plan_.fields.model;
   // Without an event id to resume after, the engine would treat the request as a new run.
   if (!streaming_ || !last_event_id_) {
@@ -240,13 +240,13 @@
   return nullptr;
 }
 
-bool RequestRun::resume_from_backup(const Backend& origin) {
+bool ActiveRequest::resume_from_backup(const Backend& origin) {
   if (plan_.route->kind != fleet::RouteKind::kStreaming || plan_.route->resumable) {
     return false;  // no backups are made
   }
   const char* reason = backup_unusable_reason(origin);
   if (reason == nullptr &&
-      !context_.budget_of(plan_.service).take(context_.loop.now(), context_.sharing_routers.count())) {
+      !context_.budget_of(plan_.service).take(context_.loop.now(), context_.router_count_estimate.count())) {
     reason = "no budget for repeats";
   }
   if (reason != nullptr) {
@@ -260,7 +260,7 @@
   return true;
 }
 
-void RequestRun::send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding) {
+void ActiveRequest::send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding) {
   const TimePoint now = context_.loop.now();
   const auto connection = context_.pool.take_connection(backend);
   tried_.insert(backend->record.id);
@@ -320,7 +320,7 @@
   arm_timer(deadline_);
 }
 
-void RequestRun::add_pending_prefill(const CachePlan& cache) {
+void ActiveRequest::add_pending_prefill(const CachePlan& cache) {
   const TimePoint now = context_.loop.now();
   const uint32_t own = backend_->memory.cached_tokens(chain_, run_weights_, now);
   uint32_t present = own;
@@ -335,7 +335,7 @@
   backend_->memory.note_pending(chain_, run_weights_, now);
 }
 
-void RequestRun::note_prompt_cached() {
+void ActiveRequest::note_prompt_cached() {
   const TimePoint now = context_.loop.now();
   fleet::ChainPlacement placement;
   placement.holder = backend_->record.id;
@@ -349,12 +349,12 @@
   const bool known = backend_->memory.observed_within(chain_, run_weights_, now, kReannounceInterval);
   backend_->memory.note_held(placement.links, run_weights_, now);
   if (!known) {
-    context_.tell_placement(placement);
+    context_.announce_placement(placement);
   }
   if (CacheStore* store = context_.stores.find(store_target_)) {
     store->memory.note_held(placement.links, run_weights_, now);
     placement.holder = store->address;
-    context_.tell_placement(placement);
+    context_.announce_placement(placement);
   }
 }
 
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -1,9 +1,9 @@
-/// RequestRun: versions. For a service with a rollout of another software version in progress: which of its
-/// back ends a request may go to, and the statistics of its responses. Also the weights version that produced
-/// a response.
+/// ActiveRequest: versions. For a service with a rollout of another software version in progress: which of
+/// its back ends a request may go to, and the statistics of its responses. Also the weights version that
+/// produced a response.
 #include <algorithm>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::vector<BackendPtr> RequestRun::filter_by_version(std::vector<BackendPtr> found) const {
+std::vector<BackendPtr> ActiveRequest::filter_by_version(std::vector<BackendPtr> found) const {
   const rollout::VersionLimits limits = context_.versions.limits(plan_.service, in_trial_sample_);
   if (limits.rollout == nullptr) {
     return found;
@@ -50,7 +50,7 @@
   return found;
 }
 
-void RequestRun::sample_for_trial() {
+void ActiveRequest::sample_for_trial() {
   if (context_.versions.find(plan_.service) == nullptr) {
     return;
   }
@@ -61,14 +61,14 @@
   in_trial_sample_ = in_trial_sample_ && has_room();
 }
 
-bool RequestRun::may_resume_at(const Backend& backup_engine, const Backend& origin) const {
+bool ActiveRequest::may_resume_at(const Backend& backup_engine, const Backend& origin) const {
   const rollout::VersionLimits limits = context_.versions.limits(plan_.service, in_trial_sample_);
   return limits.rollout == nullptr ||
          (backup_engine.record.software == origin.record.software &&
           limits.rank(backup_engine.record.software) != rollout::VersionLimits::kNever);
 }
 
-void RequestRun::record_rollout_send() {
+void ActiveRequest::record_rollout_send() {
   const fleet::ServiceRollout* rollout = context_.versions.find(plan_.service);
   if (rollout == nullptr || rollout->final()) {
     return;
@@ -89,13 +89,13 @@
   }
 }
 
-void RequestRun::record_rollout_first_event() {
+void ActiveRequest::record_rollout_first_event() {
   if (rollout_send_) {
     context_.answers.first_event(*rollout_send_, context_.loop.now());
   }
 }
 
-void RequestRun::record_rollout_failure(ExchangeFailure failure) {
+void ActiveRequest::record_rollout_failure(ExchangeFailure failure) {
   switch (failure) {
     case ExchangeFailure::kNotConnected:
       record_rollout_end(rollout::SendOutcome::kNotRun);
@@ -110,14 +110,14 @@
   }
 }
 
-void RequestRun::record_rollout_end(rollout::SendOutcome end) {
+void ActiveRequest::record_rollout_end(rollout::SendOutcome end) {
   if (rollout_send_) {
     context_.answers.end(*rollout_send_, end, context_.loop.now());
     rollout_send_.reset();
   }
 }
 
-void RequestRun::note_weights(const http1::Headers& headers) {
+void ActiveRequest::note_weights(const http1::Headers& headers) {
   const std::string* text = headers.find(context_.names.weights_version);
   const auto version = text == nullptr ? std::nullopt : parse_integer(*text);
   const uint64_t known = backend_->record.version_of(plan_.fields.model);
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -42,7 +42,7 @@
   for (const fleet::BackendLoad& load : news.loads) {
     pool_.set_total_load(load);
   }
-  pool_.note_totals_told(loop_.now());
+  pool_.note_totals_current(loop_.now());
   events_trust_.until = loop_.now() + kEventsTrust;
   for (const fleet::CacheChanges& changes : news.caches) {
     take_cache(changes);
@@ -86,7 +86,7 @@
   }
 }
 
-void GatewayServer::ask_for_permits() {
+void GatewayServer::request_permits() {
   if (std::exchange(permits_to_ask_, true)) {
     return;
   }
@@ -133,12 +133,12 @@
   if (link_.send_to_feed(message)) {
     loads_told_ = true;
     untold_unreachable_.clear();
-    pool_.set_told_loads(loads);
+    pool_.set_published_loads(loads);
     told_loads_ = std::move(loads);
   }
 }
 
-void GatewayServer::tell_placement(fleet::ChainPlacement placement) {
+void GatewayServer::announce_placement(fleet::ChainPlacement placement) {
   if (untold_placements_.placements.empty()) {
     loop_.after(kNewsDelay, [this] {
       link_.send_to_feed(untold_placements_);
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -6,9 +6,9 @@
 #include <set>
 
 #include "src/delivery/event_splitter.h"
-#include "src/delivery/window_budget.h"
+#include "src/delivery/retry_budget.h"
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/request_fields.h"
-#include "src/dispatch/request_run.h"
 #include "src/fleet/backend_registry.h"
 #include "src/fleet/fleet_state.h"
 #include "src/placement/prompt_placement.h"
@@ -292,10 +292,10 @@
   }
 }
 
-TEST(SharingRouters, CountIsOverestimatedAfterAStartAndAfterALoss) {
+TEST(RouterCountEstimate, CountIsOverestimatedAfterAStartAndAfterALoss) {
   // Guards against retry storms: after a restart of 69 routers, each took the whole fixed part of the retry
   // budget.
-  delivery::SharingRouters routers(10s);
+  delivery::RouterCountEstimate routers(10s);
   EXPECT_GE(routers.count(), 1000U);
   routers.note(3, 1s);
   EXPECT_GE(routers.count(), 1000U);
@@ -359,10 +359,10 @@
   EXPECT_NE(place().target, home);
 }
 
-TEST(WindowBudget, BoundsRetriesOverAnyWindow) {
-  delivery::WindowBudgetOptions options;
+TEST(RetryBudget, BoundsRetriesOverAnyWindow) {
+  delivery::RetryBudgetOptions options;
   options.slack = 20;
-  delivery::WindowBudget budget(options);
+  delivery::RetryBudget budget(options);
   int taken = 0;
   for (int i = 0; i < 1000; ++i) {
     const TimePoint now(i * 5000);
