--- a/simulation/control_simulation.cc
+++ b/simulation/control_simulation.cc
@@ -19,7 +19,7 @@
   member.replica.election_timeout = 300ms;
   member.replica.heartbeat_interval = 60ms;
   member.replica.snapshot_chunk_bytes = 4096;
-  member.learner_lag_entries = 20;
+  member.max_learner_lag_entries = 20;
   member.target_voters = options.voters;
   return member;
 }
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_aggregator.h
@@ -12,7 +12,7 @@
 namespace stoat::control {
 
 /// Merges the crash records of routers and members, and publishes the suspect requests.
-class CrashLedger {
+class CrashAggregator {
  public:
   /// Merges the records that a router of this member reports.
   void on_router(const std::vector<fleet::CrashRecord>& records, TimePoint now) {
--- a/src/control/fleet_bodies.cc
+++ b/src/control/fleet_bodies.cc
@@ -393,7 +393,7 @@
   return findings.empty() ? std::optional(events) : std::nullopt;
 }
 
-std::string weight_order_body(const VersionOrder& order, const BodyNames& names) {
+std::string weight_order_body(const LoadWeightsOrder& order, const BodyNames& names) {
   const json body = {{names.operation, names.load_weights},
                      {"model", order.model},
                      {"version", order.version},
--- a/src/control/fleet_bodies.h
+++ b/src/control/fleet_bodies.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "src/common/findings.h"
-#include "src/control/engine_orders.h"
+#include "src/control/engine_interface.h"
 #include "src/control/fleet_interface.h"
 #include "src/fleet/backend_record.h"
 #include "src/fleet/fleet_configuration.h"
@@ -41,7 +41,7 @@
 std::optional<CacheEvents> read_cache_events(const std::string& text, const BodyNames& names);
 
 /// Formats an order to an engine to load new weights.
-std::string weight_order_body(const VersionOrder& order, const BodyNames& names);
+std::string weight_order_body(const LoadWeightsOrder& order, const BodyNames& names);
 
 /// Formats the reply to a heartbeat: later ones should be sent to `address`, an "address:port".
 std::string heartbeat_reply_body(const std::string& address, const BodyNames& names);
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -115,7 +115,7 @@
       driver_->drive();
     }
   }
-  for (const uint64_t token : forwarded_calls_.leaderless(now)) {
+  for (const uint64_t token : forwarded_calls_.expired_without_leader(now)) {
     finish_call(token, {});
   }
 }
--- a/src/control/fleet_feed.cc
+++ b/src/control/fleet_feed.cc
@@ -48,7 +48,7 @@
   std::map<std::string, fleet::CacheChanges> changed;  // by holder
   const auto entry_of = [&](const std::string& holder) -> fleet::CacheChanges& {
     fleet::CacheChanges& changes = changed[holder];
-    if (const CacheHead* head = caches_.heads().find(holder)) {
+    if (const CacheStatus* head = caches_.heads().find(holder)) {
       changes.store = head->store;
       changes.followed = head->followed;
     }
@@ -56,9 +56,9 @@
   };
   cursor.heads = caches_.heads().visit_since(
       cursor.heads, kHoldingsPerMessage,
-      [&](const std::string& holder, const CacheHead* head) { entry_of(holder).anew = head == nullptr; });
+      [&](const std::string& holder, const CacheStatus* head) { entry_of(holder).anew = head == nullptr; });
   cursor.holdings = caches_.shared_holdings().visit_since(
-      cursor.holdings, kHoldingsPerMessage, [&](const HeldPart& held, const fleet::CachedPart* holding) {
+      cursor.holdings, kHoldingsPerMessage, [&](const HeldPartKey& held, const fleet::CachedPart* holding) {
         fleet::CachedPart removed{held.part, 0, 0};
         entry_of(held.holder).holdings.push_back(holding == nullptr ? removed : *holding);
       });
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_knowledge.cc
@@ -82,7 +82,7 @@
   limits_.on_router(loads.limits);
   crashes_.on_router(loads.crashes, now);
   if (following_routers_.count(loads.router) > 0) {
-    loads_.set_router(loads.router, loads.loads);
+    loads_.set_router_loads(loads.router, loads.loads);
   }
 }
 
@@ -123,7 +123,7 @@
 
 void FleetSoftState::on_placements(const std::vector<fleet::ChainPlacement>& placements) {
   for (const fleet::ChainPlacement& placement : placements) {
-    const std::vector<uint64_t> added = caches_.note_shared(placement.links);
+    const std::vector<uint64_t> added = caches_.mark_shared(placement.links);
     pending_update_.shared_parts.insert(pending_update_.shared_parts.end(), added.begin(), added.end());
     announce_shared_parts(added);
     if (!caches_.told(placement)) {
@@ -135,7 +135,7 @@
 
 void FleetSoftState::on_cache_changes(const std::vector<fleet::CacheChanges>& changes) {
   for (const fleet::CacheChanges& change : changes) {
-    const CacheMirror::Cache* known = caches_.find(change.holder);
+    const CacheIndex::Cache* known = caches_.find(change.holder);
     const bool same_claim =
         known != nullptr && known->followed == change.followed && known->claim == change.claim;
     if (!caches_.apply(options_.address, change)) {
@@ -159,7 +159,7 @@
     return;
   }
   for (const std::string& holder : caches_.followed_by(options_.address)) {
-    const CacheMirror::Cache& cache = *caches_.find(holder);
+    const CacheIndex::Cache& cache = *caches_.find(holder);
     fleet::CacheChanges announced{holder,      cache.store, cache.followed,   false,
                                   cache.claim, cache.epoch, cache.next_event, {}};
     for (const uint64_t part : parts) {
@@ -242,9 +242,9 @@
   for (const fleet::CacheChanges& changes : peer_update.caches) {
     caches_.apply(peer_update.sender, changes);
   }
-  announce_shared_parts(caches_.note_shared(peer_update.shared_parts));
+  announce_shared_parts(caches_.mark_shared(peer_update.shared_parts));
   for (const fleet::ChainPlacement& placement : peer_update.placements) {
-    announce_shared_parts(caches_.note_shared(placement.links));
+    announce_shared_parts(caches_.mark_shared(placement.links));
     add_placement(placement);
   }
   apply_engine_notes(peer_update);
@@ -274,7 +274,7 @@
       continue;
     }
     loads_.forget_peer(entry->first);
-    caches_.lose_follower(entry->first);
+    caches_.on_follower_lost(entry->first);
     entry = peers_.erase(entry);
   }
 }
@@ -379,11 +379,11 @@
   if (!warmed_up_ && record.zone != options_.zone) {
     return false;  // updates from nearer members may not have arrived yet
   }
-  return follower_of(record.id, record.zone, live_members(now), options_.topology) == options_.address;
+  return responsible_member(record.id, record.zone, live_members(now), options_.topology) == options_.address;
 }
 
 FollowedCache FleetSoftState::claim_cache(const std::string& holder, const std::string& address, bool store) {
-  const CacheMirror::Cache* known = caches_.find(holder);
+  const CacheIndex::Cache* known = caches_.find(holder);
   const auto held = claimed_caches_.find(holder);
   const bool superseded =
       known != nullptr && held != claimed_caches_.end() && known->follower != options_.address;
@@ -408,7 +408,7 @@
   if (cache_duty_.update(registry_.table(), store_zones, live_members(now), now)) {
     caches_.keep([this](const std::string& holder) { return cache_duty_.knows(holder); });
   }
-  for (const std::string& holder : cache_duty_.take_gone()) {
+  for (const std::string& holder : cache_duty_.take_removed_backends()) {
     caches_.drop(holder);
   }
   std::map<std::string, FollowedCache> chosen;
--- a/src/control/fleet_knowledge.h
+++ b/src/control/fleet_knowledge.h
@@ -14,13 +14,13 @@
 
 #include "src/admission/quota_ledger.h"
 #include "src/common/time.h"
+#include "src/control/assigned_caches.h"
+#include "src/control/backend_limit_table.h"
 #include "src/control/cache_assignment.h"
-#include "src/control/cache_duty.h"
-#include "src/control/cache_mirror.h"
-#include "src/control/cache_watch.h"
-#include "src/control/crash_ledger.h"
-#include "src/control/limit_book.h"
-#include "src/control/load_book.h"
+#include "src/control/cache_event_poller.h"
+#include "src/control/cache_index.h"
+#include "src/control/crash_aggregator.h"
+#include "src/control/load_aggregator.h"
 #include "src/control/router_directory.h"
 #include "src/fleet/backend_registry.h"
 #include "src/fleet/fleet_messages.h"
@@ -133,9 +133,9 @@
 
   const fleet::BackendRegistry& registry() const { return registry_; }
   const RouterDirectory& routers() const { return routers_; }
-  const LoadBook& loads() const { return loads_; }
-  const LimitBook& limits() const { return limits_; }
-  const CacheMirror& caches() const { return caches_; }
+  const LoadAggregator& loads() const { return loads_; }
+  const BackendLimitTable& limits() const { return limits_; }
+  const CacheIndex& caches() const { return caches_; }
   const admission::QuotaLedger& quotas() const { return quotas_; }
   /// Tenants for which metering has started or stopped since the last call.
   std::vector<fleet::QuotaLevel> take_quota_changes() { return quotas_.take_changes(); }
@@ -185,15 +185,15 @@
   SoftStateOptions options_;
   fleet::BackendRegistry registry_;
   RouterDirectory routers_;
-  LoadBook loads_;
-  LimitBook limits_;
-  CrashLedger crashes_;
+  LoadAggregator loads_;
+  BackendLimitTable limits_;
+  CrashAggregator crashes_;
   admission::QuotaLedger quotas_;
   rollout::AnswerAggregator answers_;
-  CacheDuty cache_duty_;
+  AssignedCaches cache_duty_;
   /// Routers that followed this member, and when they fell silent.
   std::map<std::string, TimePoint> silent_routers_;
-  CacheMirror caches_;
+  CacheIndex caches_;
   /// Routers that receive the feed of this member, by name.
   std::map<std::string, fleet::RouterRecord> following_routers_;
   /// Caches that this member follows, by holder.
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -50,14 +50,14 @@
   wire::Frame full_state;  // encoded once for all members that need it
   for (const std::string& address : other_members()) {
     const ChannelPtr channel = bulk_channel_to(address);
-    if (channel == nullptr || !peer_feeds_.whole_due(address, channel->unsent_bytes(), now)) {
+    if (channel == nullptr || !peer_feeds_.full_state_due(address, channel->unsent_bytes(), now)) {
       continue;
     }
     if (full_state.empty()) {
       full_state = wire::make_frame(soft_state_.full_state_for_peer(term, leads, named_weights_, now));
     }
     channel->send_frame(full_state);
-    peer_feeds_.on_whole_sent(address, full_state.bytes.size(), now);
+    peer_feeds_.on_full_state_sent(address, full_state.bytes.size(), now);
     log_.event(events::WholeSent{address, full_state.bytes.size()});
   }
 }
@@ -65,7 +65,7 @@
 void FleetServer::send_to_members(const wire::Frame& frame) {
   for (const std::string& address : other_members()) {
     const ChannelPtr channel = bulk_channel_to(address);
-    if (channel != nullptr && peer_feeds_.takes_news(address, channel->unsent_bytes())) {
+    if (channel != nullptr && peer_feeds_.accepts_update(address, channel->unsent_bytes())) {
       channel->send_frame(frame);
     }
   }
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -64,7 +64,8 @@
 }
 
 std::vector<fleet::RouterRecord> FleetServer::ready_routers(const std::string& zone, size_t limit) {
-  std::vector<fleet::RouterRecord> routers = soft_state_.routers().for_callers(zone, limit, loop_.now());
+  std::vector<fleet::RouterRecord> routers =
+      soft_state_.routers().select_for_callers(zone, limit, loop_.now());
   std::map<topology::Distance, size_t> count_by_distance;
   for (const fleet::RouterRecord& router : routers) {
     ++count_by_distance[settings_.topology.distance(zone, router.zone)];
@@ -157,7 +158,8 @@
   if (link.status.configuration_version >= version) {
     return false;
   }
-  if (link.configuration_sent >= version && now - link.configuration_sent_at < kConfigurationResendDelay) {
+  if (link.sent_configuration_version >= version &&
+      now - link.configuration_sent_at < kConfigurationResendDelay) {
     return false;
   }
   return link.status.follows ||
@@ -170,7 +172,7 @@
   update.acknowledged_spending_sequence = link.acknowledged_spending_sequence;
   if (needs_configuration(link, true)) {
     update.configuration.push_back(core_->state().fleet().configuration());
-    link.configuration_sent = configuration_version();
+    link.sent_configuration_version = configuration_version();
     link.configuration_sent_at = loop_.now();
   }
   link.told = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
@@ -179,8 +181,8 @@
 
 void FleetServer::push_to_routers() {
   // Routers that have received the same revisions get the same frame.
-  std::map<std::pair<ToldRevisions, bool>, wire::Frame> frames;
-  const ToldRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
+  std::map<std::pair<SentRevisions, bool>, wire::Frame> frames;
+  const SentRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
                              rollouts_revision_};
   for (auto& [name, link] : router_links_) {
     if (!link.channel->open()) {
@@ -197,7 +199,7 @@
     }
     link.told = newest;
     if (configuration) {
-      link.configuration_sent = configuration_version();
+      link.sent_configuration_version = configuration_version();
       link.configuration_sent_at = loop_.now();
     }
     link.channel->send_frame(frame);
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -58,7 +58,7 @@
   return settings;
 }
 
-FleetServer::FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders)
+FleetServer::FleetServer(EventLoop& loop, FleetControlSettings settings, EngineInterface& orders)
     : loop_(loop),
       settings_(std::move(settings)),
       engine_orders_(orders),
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -16,14 +16,14 @@
 #include "src/common/log.h"
 #include "src/common/metrics.h"
 #include "src/common/settings.h"
-#include "src/control/cache_watch.h"
+#include "src/control/cache_event_poller.h"
 #include "src/control/control_core.h"
 #include "src/control/durable_driver.h"
-#include "src/control/engine_orders.h"
+#include "src/control/engine_interface.h"
 #include "src/control/fleet_knowledge.h"
 #include "src/control/forwarded_calls.h"
-#include "src/control/leader_confirmation.h"
-#include "src/control/peer_feeds.h"
+#include "src/control/leader_confirmation_tracker.h"
+#include "src/control/peer_flow_control.h"
 #include "src/control/router_link.h"
 #include "src/control/weight_rollout.h"
 #include "src/http/event_loop.h"
@@ -82,7 +82,7 @@
  public:
   /// Throws std::runtime_error if the state on disk is damaged or cannot be written, or if the internal
   /// endpoint cannot be bound.
-  FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders);
+  FleetServer(EventLoop& loop, FleetControlSettings settings, EngineInterface& orders);
   ~FleetServer();
   FleetServer(const FleetServer&) = delete;
   FleetServer& operator=(const FleetServer&) = delete;
@@ -244,7 +244,7 @@
 
   EventLoop& loop_;
   FleetControlSettings settings_;
-  EngineOrders& engine_orders_;
+  EngineInterface& engine_orders_;
   Logger log_{"control"};
   Metrics metrics_;
   std::shared_ptr<wire::TrafficMeter> traffic_ = std::make_shared<wire::TrafficMeter>();
@@ -264,7 +264,7 @@
   bool stopping_ = false;
 
   FleetSoftState soft_state_;
-  PeerFeeds peer_feeds_;
+  PeerFlowControl peer_feeds_;
   std::map<std::string, RouterLink> router_links_;               ///< by name
   size_t ready_router_count_ = 0;                                ///< ready routers at the last count
   uint64_t logged_registry_revision_ = 0;                        ///< changes up to it are logged
@@ -278,10 +278,10 @@
   uint64_t members_revision_ = 0;          ///< incremented when the member list changes
   TimePoint configuration_applied_at_{0};  ///< of the newest configuration
 
-  LeaderQuestions questions_;
+  LeaderConfirmationTracker questions_;
   TimePoint next_confirmation_request_{0};
   TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
-  CacheWatch cache_watch_;
+  CacheEventPoller cache_watch_;
   WeightRollout weight_rollout_;
   admission::PermitIssuer permit_book_;                   ///< valid while this member leads
   std::map<uint64_t, RolloutProgress> rollout_progress_;  ///< by rollout id; only rollouts not yet final
--- a/src/control/leader_confirmation.h
+++ b/src/control/leader_confirmation_tracker.h
@@ -19,7 +19,7 @@
 };
 
 /// Numbers the requests to the leader and keeps the newest confirmation. Performs no I/O.
-class LeaderQuestions {
+class LeaderConfirmationTracker {
  public:
   /// A request to be sent to the leader now.
   fleet::ConfirmationRequest ask(TimePoint now) {
--- a/src/control/router_directory.cc
+++ b/src/control/router_directory.cc
@@ -117,8 +117,8 @@
   }));
 }
 
-std::vector<fleet::RouterRecord> RouterDirectory::for_callers(const std::string& zone, size_t limit,
-                                                              TimePoint now) const {
+std::vector<fleet::RouterRecord> RouterDirectory::select_for_callers(const std::string& zone, size_t limit,
+                                                                     TimePoint now) const {
   std::vector<fleet::RouterRecord> list = ready(now);
   const auto in_other_region = [&](const fleet::RouterRecord& router) {
     return topology_.distance(zone, router.zone) == topology::Distance::kOtherRegion;
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -41,7 +41,8 @@
   /// (assign_routers_to_zones), most of which lie in it. All routers of the region when the region is small
   /// or too few of the assigned ones are ready, and routers of other regions only when the own region has
   /// none. The selection is stable, since callers leave a router that is no longer listed.
-  std::vector<fleet::RouterRecord> for_callers(const std::string& zone, size_t limit, TimePoint now) const;
+  std::vector<fleet::RouterRecord> select_for_callers(const std::string& zone, size_t limit,
+                                                      TimePoint now) const;
 
  private:
   struct KnownRouter {
--- a/src/control/weight_rollout.cc
+++ b/src/control/weight_rollout.cc
@@ -205,12 +205,12 @@
       load.next_step_at = now + options_.first_check;
       ++order_sequences_[engine];
       break;
-    case OrderAnswer::kHoldsAlready:
+    case OrderAnswer::kAlreadyLoaded:
     case OrderAnswer::kConflict:
     case OrderAnswer::kNone:
       // Query the engine's state next: the order may have been accepted, or another one may be in progress.
       load.phase = Phase::kOutcomeUnknown;
-      load.next_step_at = now + (answer == OrderAnswer::kHoldsAlready ? Duration(0) : options_.retry_delay);
+      load.next_step_at = now + (answer == OrderAnswer::kAlreadyLoaded ? Duration(0) : options_.retry_delay);
       break;
     case OrderAnswer::kFenced:
     case OrderAnswer::kRefused:
--- a/src/control/weight_rollout.h
+++ b/src/control/weight_rollout.h
@@ -40,12 +40,12 @@
 
 /// The answer to an order.
 enum class OrderAnswer : uint8_t {
-  kTaken,         ///< accepted
-  kHoldsAlready,  ///< the engine has the version already
-  kConflict,      ///< another order is in progress, or the sequence differs
-  kFenced,        ///< the engine has seen a higher fencing token
-  kRefused,       ///< any other refusal; certainly not accepted
-  kNone,          ///< no answer: the order may have been accepted, or may still be executed
+  kTaken,          ///< accepted
+  kAlreadyLoaded,  ///< the engine has the version already
+  kConflict,       ///< another order is in progress, or the sequence differs
+  kFenced,         ///< the engine has seen a higher fencing token
+  kRefused,        ///< any other refusal; certainly not accepted
+  kNone,           ///< no answer: the order may have been accepted, or may still be executed
 };
 
 /// One step for the caller of WeightRollout::plan() to carry out.
--- a/tests/unit/cache_watch_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -1,5 +1,5 @@
 /// What control members learn from the events of KV caches, and how routers use it.
-#include "src/control/cache_watch.h"
+#include "src/control/cache_event_poller.h"
 
 #include <gtest/gtest.h>
 
@@ -10,22 +10,22 @@
 namespace stoat {
 namespace {
 
+using control::CacheEventPoller;
 using control::CacheEvents;
-using control::CacheWatch;
 using fleet::CachedPart;
 
 /// Records the requests for cache events, for the test to answer.
-class FakeEngines : public control::EngineOrders {
+class FakeEngines : public control::EngineInterface {
  public:
   struct Request {
     std::string address;
     uint64_t since = 0;
     std::function<void(const CacheEvents*)> answer;
   };
-  void send(const control::VersionOrder&, std::function<void(control::OrderAnswer)>) override {}
+  void send(const control::LoadWeightsOrder&, std::function<void(control::OrderAnswer)>) override {}
   void ask(const std::string&, std::function<void(const control::EngineReport*)>) override {}
-  void follow_cache(const std::string& address, uint64_t since,
-                    std::function<void(const CacheEvents*)> on_events) override {
+  void poll_cache_events(const std::string& address, uint64_t since,
+                         std::function<void(const CacheEvents*)> on_events) override {
     requests.push_back({address, since, std::move(on_events)});
   }
   /// Answers the oldest request.
@@ -53,7 +53,7 @@
   }
 
   FakeEngines engines_;
-  CacheWatch watch_{engines_};
+  CacheEventPoller watch_{engines_};
   TimePoint now_{0};
 };
 
@@ -130,7 +130,7 @@
 }
 
 TEST_F(CacheWatchTest, NewFollowerContinuesWhereTheLastOneStopped) {
-  CacheWatch new_follower(engines_);
+  CacheEventPoller new_follower(engines_);
   new_follower.follow({{"e1", "a:1", false, 5, 7, 40}});
   new_follower.poll(1s);
   ASSERT_EQ(engines_.requests.size(), 1U);
--- a/tests/unit/fleet_knowledge_test.cc
+++ b/tests/unit/fleet_knowledge_test.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "src/control/leader_confirmation.h"
+#include "src/control/leader_confirmation_tracker.h"
 
 namespace stoat {
 namespace {
@@ -405,8 +405,8 @@
   EXPECT_TRUE(first_.take_peer_update(1, true, now_).placements.empty());
 }
 
-TEST(CacheMirror, RemovingPartsOfOldWeightsKeepsThoseOfNewOnes) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, RemovingPartsOfOldWeightsKeepsThoseOfNewOnes) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "s:1";
   changes.claim = 1;
@@ -415,8 +415,8 @@
   EXPECT_EQ(mirror.whole("s:1").holdings.at(0).tokens, 100U);
 }
 
-TEST(CacheMirror, OneOfTwoFollowersWithEqualClaimsWins) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, OneOfTwoFollowersWithEqualClaimsWins) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "e1";
   changes.claim = 3;
@@ -429,16 +429,16 @@
 TEST(RouterDirectory, RouterThatItsMemberNoLongerHearsIsNotListed) {
   control::RouterDirectory directory;
   directory.on_notice("m", {router_record("r1"), true}, 1s);
-  EXPECT_EQ(directory.for_callers("z1", kMaxRouters, 1s).size(), 1U);
+  EXPECT_EQ(directory.select_for_callers("z1", kMaxRouters, 1s).size(), 1U);
   directory.on_notice("m", {router_record("r1"), false}, 2s);
-  EXPECT_TRUE(directory.for_callers("z1", kMaxRouters, 2s).empty());
+  EXPECT_TRUE(directory.select_for_callers("z1", kMaxRouters, 2s).empty());
   directory.on_status(router_record("r1"), 3s);
   EXPECT_EQ(directory.ready_count(4s), 1U);
   EXPECT_EQ(directory.ready_count(20s), 0U);
 }
 
-TEST(LeaderQuestions, ConfirmationAgeIsCountedFromTheRequest) {
-  control::LeaderQuestions questions;
+TEST(LeaderConfirmationTracker, ConfirmationAgeIsCountedFromTheRequest) {
+  control::LeaderConfirmationTracker questions;
   const auto question = questions.ask(10s);
   questions.on_answer({question.number, 40, 7});
   ASSERT_TRUE(questions.newest());
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -6,7 +6,7 @@
 
 #include "src/common/hash.h"
 #include "src/control/fleet_knowledge.h"
-#include "src/control/peer_feeds.h"
+#include "src/control/peer_flow_control.h"
 #include "src/wire/channel.h"
 
 namespace stoat {
@@ -14,7 +14,7 @@
 
 using control::FeedCursor;
 using control::FleetSoftState;
-using control::PeerFeeds;
+using control::PeerFlowControl;
 
 constexpr size_t kMembers = 5;
 constexpr size_t kEngines = 3000;
@@ -52,7 +52,7 @@
   explicit Member(size_t number, TimePoint now)
       : soft_state({member_address(number), "zone-" + std::to_string(number), {}, {}, number + 1, now}) {}
   FleetSoftState soft_state;
-  PeerFeeds feeds;
+  PeerFlowControl feeds;
   std::map<size_t, Connection> connections;  ///< by receiver
 };
 
@@ -80,7 +80,7 @@
       }
       Connection& connection = member.connections[to];
       const bool lost = std::exchange(lose_next_, false);
-      if (member.feeds.takes_news(member_address(to), connection.unsent) && !lost) {
+      if (member.feeds.accepts_update(member_address(to), connection.unsent) && !lost) {
         connection.send(bytes, peer_update);
         sent_bytes_ += bytes;
       }
@@ -90,11 +90,11 @@
     }
     for (size_t to = 0; to < kMembers; ++to) {
       Connection& connection = member.connections[to];
-      if (member.feeds.whole_due(member_address(to), connection.unsent, now_)) {
+      if (member.feeds.full_state_due(member_address(to), connection.unsent, now_)) {
         const fleet::PeerUpdate full_state = member.soft_state.full_state_for_peer(1, false, {}, now_);
         full_state_bytes_ = wire::make_frame(full_state).bytes.size();
         connection.send(full_state_bytes_, full_state);
-        member.feeds.on_whole_sent(member_address(to), full_state_bytes_, now_);
+        member.feeds.on_full_state_sent(member_address(to), full_state_bytes_, now_);
         sent_bytes_ += full_state_bytes_;
         ++full_states_sent_;
       }
