--- a/src/control/fleet_engine_client.cc
+++ b/src/control/engine_client.cc
@@ -1,4 +1,4 @@
-#include "src/control/fleet_engine_client.h"
+#include "src/control/engine_client.h"
 
 #include "src/control/fleet_bodies.h"
 #include "src/fleet/incarnation.h"
--- a/src/control/fleet_engine_client.h
+++ b/src/control/engine_client.h
@@ -10,7 +10,8 @@
 /// See the top of this file.
 class EngineClient : public EngineInterface {
  public:
-  EngineClient(EventLoop& loop, FleetInterface interface) : client_(loop), interface_(std::move(interface)) {}
+  EngineClient(EventLoop& loop, FleetHttpInterface interface)
+      : client_(loop), interface_(std::move(interface)) {}
   void send(const LoadWeightsOrder& order, std::function<void(OrderAnswer)> on_answer) override;
   void ask(const std::string& address, std::function<void(const EngineReport*)> on_report) override;
   void poll_cache_events(const std::string& address, uint64_t since,
@@ -18,7 +19,7 @@
 
  private:
   http::Client client_;
-  FleetInterface interface_;
+  FleetHttpInterface interface_;
 };
 
 }  // namespace stoat::control
--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-FleetAdminApi::FleetAdminApi(FleetServer& fleet, FleetInterface interface, double directory_lifetime_s,
+FleetAdminApi::FleetAdminApi(FleetServer& fleet, FleetHttpInterface interface, double directory_lifetime_s,
                              std::string heartbeat_address)
     : fleet_(fleet),
       interface_(std::move(interface)),
--- a/src/control/fleet_feed.cc
+++ b/src/control/fleet_feed.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 namespace stoat::control {
 
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -20,7 +20,7 @@
 #include "src/control/control_core.h"
 #include "src/control/durable_driver.h"
 #include "src/control/engine_interface.h"
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "src/control/forwarded_calls.h"
 #include "src/control/leader_confirmation_tracker.h"
 #include "src/control/peer_flow_control.h"
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_soft_state.cc
@@ -1,4 +1,4 @@
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <tuple>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "src/wire/channel.h"
 
 namespace stoat::control {
--- a/tests/unit/fleet_knowledge_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -1,5 +1,5 @@
 /// The soft state of control members, its exchange between members and its feed to routers.
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -5,7 +5,7 @@
 #include <deque>
 
 #include "src/common/hash.h"
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "src/control/peer_flow_control.h"
 #include "src/wire/channel.h"
 
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -1,7 +1,7 @@
 /// Quotas at a router and at its control-plane member, using the real messages.
 #include <gtest/gtest.h>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
