--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -65,7 +65,7 @@
   events::StoryBook& stories;
   Random random{0};
   topology::Topology topology = {};
-  topology::MachineLocation place = {};  ///< location of this router
+  topology::Location place = {};  ///< location of this router
   uint32_t router_count = 1;
   delivery::RouterCountEstimate router_count_estimate{10s};  ///< share the fixed part of the retry budget
   /// Engines with older weights are no longer used after this time since the newer version was announced.
@@ -133,12 +133,12 @@
 /// KV cache transfers of one attempt: where its engine loads cache from and where it stores what it has
 /// prefilled. Addresses; empty: none.
 struct CachePlan {
-  std::string source = {};       ///< engine or store to load from
-  std::string target = {};       ///< store to write to
-  std::string backup = {};       ///< engine that receives a backup of the run's KV cache
-  std::string resume_from = {};  ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
-  uint32_t candidates = 1;       ///< number of engines that it was placed among, for the log
-  topology::MachineLocation source_place = {};  ///< location of `source`; meaningless without one
+  std::string source = {};               ///< engine or store to load from
+  std::string target = {};               ///< store to write to
+  std::string backup = {};               ///< engine that receives a backup of the run's KV cache
+  std::string resume_from = {};          ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
+  uint32_t candidates = 1;               ///< number of engines that it was placed among, for the log
+  topology::Location source_place = {};  ///< location of `source`; meaningless without one
 };
 
 /// Forecast of the first event of an attempt, and its inputs, as of the time of sending.
@@ -303,7 +303,7 @@
   CachePlan plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
                        bool worth_taking_from_store) const;
   /// Location of a store; if it is not configured, a zone of its own.
-  topology::MachineLocation place_of_store(const std::string& address) const;
+  topology::Location place_of_store(const std::string& address) const;
   /// Counts the network distances of the attempt and of its KV cache source, and adds them to the log event.
   void note_distances(const Backend& target, const CachePlan& cache, events::RequestSent& sent) const;
   /// Updates the service's call time with a completed request without a prompt.
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -39,7 +39,7 @@
   fleet::BackendRecord record;
   Endpoint endpoint;
   uint64_t name_hash = 0;
-  topology::MachineLocation place;
+  topology::Location place;
   std::vector<std::shared_ptr<BackendConnection>> idle;  ///< most recently used last
   size_t connections = 0;                                ///< idle and in use, probes included
   uint32_t outstanding = 0;                              ///< own requests in progress
--- a/src/dispatch/request_distance.cc
+++ b/src/dispatch/request_distance.cc
@@ -4,7 +4,7 @@
 
 namespace stoat::dispatch {
 
-topology::MachineLocation ActiveRequest::place_of_store(const std::string& address) const {
+topology::Location ActiveRequest::place_of_store(const std::string& address) const {
   const fleet::Service* store = plan_.table->store_at(address);
   return context_.topology.location_of(store == nullptr ? address : store->store_zone);
 }
--- a/src/placement/prompt_placement.h
+++ b/src/placement/prompt_placement.h
@@ -30,7 +30,7 @@
   uint32_t slots = 1;
   double ms_per_token = 0;  ///< estimated prefill time per token
   double wait_ms = 0;       ///< until a request sent now would begin to be processed
-  topology::MachineLocation place;
+  topology::Location place;
   topology::Distance distance = topology::Distance::kSameRegion;  ///< from this router
   bool has_outdated_weights = false;  ///< a newer version of the weights is available
   bool candidate = true;              ///< may receive the request
@@ -40,7 +40,7 @@
 /// The store that is responsible for a chain.
 struct StoreView {
   const KvCacheEstimate* memory = nullptr;
-  topology::MachineLocation place;
+  topology::Location place;
 };
 
 /// The cost of the distance to an engine, in milliseconds: the round trip, and the price of the bytes.
--- a/src/topology/topology.cc
+++ b/src/topology/topology.cc
@@ -18,7 +18,7 @@
   return "unknown";
 }
 
-Distance distance(const MachineLocation& place, const MachineLocation& other) {
+Distance distance(const Location& place, const Location& other) {
   if (place == other) {
     return Distance::kSameZone;
   }
@@ -34,7 +34,7 @@
   return topology::distance(location_of(zone), location_of(other));
 }
 
-MachineLocation Topology::location_of(const std::string& zone) const {
+Location Topology::location_of(const std::string& zone) const {
   return {hash_bytes(zone), hash_bytes(region_of(zone))};
 }
 
