--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -1,4 +1,4 @@
-/// The whole request path, from a caller's bytes to a scripted engine's and back.
+/// The whole request path, from a client's bytes to a scripted engine and back.
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
@@ -16,7 +16,7 @@
 using test::RawClient;
 using test::status_of;
 
-constexpr char kChain[] = "X-Model: m\r\nX-Prompt-Parts: a:100,b:50\r\nX-Token-Counts: 150,10\r\n";
+constexpr char kPromptHeaders[] = "X-Model: m\r\nX-Prompt-Parts: a:100,b:50\r\nX-Token-Counts: 150,10\r\n";
 
 std::string chunk(const std::string& bytes) {
   char size[16];
@@ -34,15 +34,15 @@
   }
 };
 
-TEST_F(GatewayTest, PassesARequestOnByteForByteAndSetsItsOwnHeaders) {
+TEST_F(GatewayTest, ForwardsARequestUnchangedExceptForRouterHeaders) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(whole_answer(200, own(request.header("X-Request-Id")) + "X-Other: 1\r\n", "body"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string answer = ask("GET", "/once/a%2Fb?c=%20&d", "q1",
-                                 "X-Mine: yes\r\nX-Tenant: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\n");
-  EXPECT_EQ(status_of(answer), "HTTP/1.1 200");
-  EXPECT_NE(answer.find("X-Other: 1"), std::string::npos);
+  const std::string response = ask("GET", "/once/a%2Fb?c=%20&d", "q1",
+                                   "X-Mine: yes\r\nX-Tenant: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\n");
+  EXPECT_EQ(status_of(response), "HTTP/1.1 200");
+  EXPECT_NE(response.find("X-Other: 1"), std::string::npos);
   ASSERT_EQ(engine.requests().size(), 1U);
   const SeenRequest seen = engine.requests().front();
   EXPECT_EQ(seen.head.substr(0, seen.head.find("\r\n")), "GET /once/a%2Fb?c=%20&d HTTP/1.1");
@@ -54,20 +54,20 @@
   EXPECT_LE(std::stoi(seen.header("X-Deadline-Ms")), 2000);
 }
 
-TEST_F(GatewayTest, RefusesUnknownRoutesAndKeys) {
+TEST_F(GatewayTest, RejectsUnknownRoutesAndKeys) {
   EXPECT_EQ(status_of(ask("GET", "/nowhere/", "q1")), "HTTP/1.1 404");
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q2", "", "wrong")), "HTTP/1.1 401");
 }
 
-TEST_F(GatewayTest, SaysAtOnceThatItDidNotRunWithoutABackEnd) {
+TEST_F(GatewayTest, RejectsAtOnceWithoutABackend) {
   const auto start = std::chrono::steady_clock::now();
-  const std::string answer = ask("GET", "/safe/", "q1");
-  EXPECT_EQ(status_of(answer), "HTTP/1.1 503");
-  EXPECT_NE(answer.find("Retry-After: "), std::string::npos);
+  const std::string response = ask("GET", "/safe/", "q1");
+  EXPECT_EQ(status_of(response), "HTTP/1.1 503");
+  EXPECT_NE(response.find("Retry-After: "), std::string::npos);
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::milliseconds(900));
 }
 
-TEST_F(GatewayTest, NeverSendsAnUnsafeRequestAgainAfterALostAnswer) {
+TEST_F(GatewayTest, NeverRetriesAnUnsafeRequestAfterALostResponse) {
   ScriptedEngine engine([](const SeenRequest&) -> Script { return {reset_step()}; });
   ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "calls", engine);
@@ -76,7 +76,7 @@
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, SendsASafeRequestToAnotherBackEndAfterALostAnswer) {
+TEST_F(GatewayTest, RetriesASafeRequestOnAnotherBackendAfterALostResponse) {
   std::atomic<int> sends{0};
   const auto handler = [&](const SeenRequest& request) -> Script {
     if (++sends == 1) {
@@ -93,7 +93,7 @@
   EXPECT_EQ(other.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, SendsAnUnsafeRequestElsewhereWhenTheBackEndSaysItDidNotRun) {
+TEST_F(GatewayTest, RetriesAnUnsafeRequestThatTheBackendDidNotRun) {
   std::atomic<int> sends{0};
   const auto handler = [&](const SeenRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
@@ -109,30 +109,30 @@
   EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 200");
 }
 
-/// A router that asks control only each 20 s by itself.
-class SlowQuestionsTest : public test::SmallFleet {
+/// A router that sends its status to the control plane only every 20 s.
+class InfrequentStatusTest : public test::SmallFleet {
  protected:
-  SlowQuestionsTest() : SmallFleet(100, 20s) {}
+  InfrequentStatusTest() : SmallFleet(100, 20s) {}
 };
 
-TEST_F(SlowQuestionsTest, ARouterAsksANewLeaderForItsKeyLeaseAtOnce) {
-  // Found in an incident: after a loss of power of all machines, keys were honoured up to 0.4 s after there
-  // was a leader.
-  EXPECT_TRUE(configure(make_configuration(1)));  // waits 5 s at most until the router is ready
+TEST_F(InfrequentStatusTest, RouterRequestsAKeyLeaseFromANewLeaderAtOnce) {
+  // Guards against waiting for the next status interval: after a power loss of all machines, routers accepted
+  // keys only up to 0.4 s after a leader was elected.
+  EXPECT_TRUE(configure(make_configuration(1)));  // waits at most 5 s until the router is ready
 }
 
-TEST_F(GatewayTest, GivesTheEnginesOwnFailureBackUnchanged) {
+TEST_F(GatewayTest, ForwardsAnEngineErrorUnchanged) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(whole_answer(500, own(request.header("X-Request-Id")), "broken"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string answer = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
-  EXPECT_EQ(status_of(answer), "HTTP/1.1 500");
-  EXPECT_NE(answer.find("X-Answer-Signature: s"), std::string::npos);
-  EXPECT_NE(answer.find("broken"), std::string::npos);
+  const std::string response = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
+  EXPECT_EQ(status_of(response), "HTTP/1.1 500");
+  EXPECT_NE(response.find("X-Answer-Signature: s"), std::string::npos);
+  EXPECT_NE(response.find("broken"), std::string::npos);
 }
 
-TEST_F(GatewayTest, NeverPassesASuccessOnThatIsNotTheEnginesOwn) {
+TEST_F(GatewayTest, NeverForwardsASuccessWithoutTheEnginesSignature) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {
         send_step(whole_answer(200, "X-Request-Id: " + request.header("X-Request-Id") + "\r\n", "forged"))};
@@ -141,21 +141,21 @@
   EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
-TEST_F(GatewayTest, PassesOverAnAnswerToAnotherRequest) {
+TEST_F(GatewayTest, SkipsAResponseToAnotherRequest) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(whole_answer(200, own("another"), "not yours") +
                       whole_answer(200, own(request.header("X-Request-Id")), "yours"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string answer = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
-  EXPECT_NE(answer.find("yours"), std::string::npos);
-  EXPECT_EQ(answer.find("not yours"), std::string::npos);
+  const std::string response = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
+  EXPECT_NE(response.find("yours"), std::string::npos);
+  EXPECT_EQ(response.find("not yours"), std::string::npos);
 }
 
-TEST_F(GatewayTest, DoesNotUseAConnectionAgainThatSentMoreThanItsAnswer) {
+TEST_F(GatewayTest, DoesNotReuseAConnectionWithSurplusBytes) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    const std::string answer = whole_answer(200, own(request.header("X-Request-Id")), "ok");
-    return {send_step(answer + answer)};
+    const std::string response = whole_answer(200, own(request.header("X-Request-Id")), "ok");
+    return {send_step(response + response)};
   });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
@@ -164,7 +164,7 @@
   EXPECT_NE(engine.requests()[0].connection, engine.requests()[1].connection);
 }
 
-TEST_F(GatewayTest, TakesAnUnframedAnswerOnlyWhenItsConnectionEndsInOrder) {
+TEST_F(GatewayTest, AcceptsAnUnframedResponseOnlyAfterAnOrderlyClose) {
   std::atomic<bool> orderly{true};
   ScriptedEngine engine([&](const SeenRequest& request) -> Script {
     const std::string head = "HTTP/1.1 200 OK\r\n" + own(request.header("X-Request-Id")) + "\r\nunframed";
@@ -179,13 +179,13 @@
   EXPECT_EQ(status_of(ask("POST", "/once/", "q2", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
-TEST_F(GatewayTest, AnswersGarbageWithABadGateway) {
+TEST_F(GatewayTest, RespondsToGarbageWithBadGateway) {
   ScriptedEngine engine([](const SeenRequest&) -> Script { return {send_step("\x01\x02garbage\r\n\r\n")}; });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
-TEST_F(GatewayTest, EndsARequestAtItsTimeAndStopsTheEngine) {
+TEST_F(GatewayTest, EndsARequestAtItsDeadlineAndStopsTheEngine) {
   ScriptedEngine engine(
       [](const SeenRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
   add_engine("e1", "calls", engine);
@@ -200,7 +200,7 @@
   EXPECT_TRUE(wait_for([&] { return engine.closed_by_peer() == 1; }));
 }
 
-TEST_F(GatewayTest, StopsTheEngineWhenTheCallerLeaves) {
+TEST_F(GatewayTest, StopsTheEngineWhenTheClientDisconnects) {
   ScriptedEngine engine(
       [](const SeenRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
   add_engine("e1", "calls", engine);
@@ -212,32 +212,34 @@
   EXPECT_TRUE(wait_for([&] { return engine.closed_by_peer() == 1; }));
 }
 
-TEST_F(GatewayTest, StreamsWholeEventsAndEndsInOrder) {
+TEST_F(GatewayTest, StreamsWholeEventsToTheEnd) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1) + event(2).substr(0, 7))),
             wait_step(std::chrono::milliseconds(30)), send_step(chunk(event(2).substr(7)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_NE(answer.find(event(1)), std::string::npos);
-  EXPECT_NE(answer.find(event(2)), std::string::npos);
-  EXPECT_NE(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_NE(response.find(event(1)), std::string::npos);
+  EXPECT_NE(response.find(event(2)), std::string::npos);
+  EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, BreaksAStreamOffThatMayNotBeResumed) {
+TEST_F(GatewayTest, AbortsAStreamThatIsNotResumable) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1))),
             wait_step(std::chrono::milliseconds(30)), reset_step()};
   });
   ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "models", engine);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_NE(answer.find(event(1)), std::string::npos);
-  EXPECT_EQ(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_NE(response.find(event(1)), std::string::npos);
+  EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, TakesAResumableStreamUpElsewhereWithoutARepeatedOrMissingEvent) {
+TEST_F(GatewayTest, ResumesAStreamElsewhereWithoutRepeatedOrMissingEvents) {
   std::atomic<int> sends{0};
   const auto handler = [&](const SeenRequest& request) -> Script {
     const std::string head = stream_head(request.header("X-Request-Id"));
@@ -252,14 +254,15 @@
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  const std::string answer = ask("POST", "/resume/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
+  const std::string response =
+      ask("POST", "/resume/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   for (int id = 1; id <= 3; ++id) {
-    EXPECT_EQ(count_of(answer, event(id)), 1U) << answer;
+    EXPECT_EQ(count_of(response, event(id)), 1U) << response;
   }
-  EXPECT_NE(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, AStreamThatMayNotBeResumedGoesOnFromItsCopy) {
+TEST_F(GatewayTest, NonResumableStreamContinuesFromItsKvCacheBackup) {
   std::atomic<int> sends{0};
   const auto handler = [&](const SeenRequest& request) -> Script {
     const std::string head = stream_head(request.header("X-Request-Id"));
@@ -275,26 +278,28 @@
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_NE(answer.find(event(1)), std::string::npos);
-  EXPECT_NE(answer.find(event(2)), std::string::npos);
-  EXPECT_NE(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_NE(response.find(event(1)), std::string::npos);
+  EXPECT_NE(response.find(event(2)), std::string::npos);
+  EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(GatewayTest, ACopyIsNotUsedBeforeTheFirstEvent) {
-  // Found on the bench (TWICE): without an event to go on after, the engine takes the request as a new run.
+TEST_F(GatewayTest, BackupIsNotUsedBeforeTheFirstEvent) {
+  // Found in a bench run (TWICE): without an event to continue after, the engine takes the request as a new
+  // run.
   const auto handler = [](const SeenRequest&) -> Script { return {reset_step()}; };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  EXPECT_EQ(status_of(ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n")),
+  EXPECT_EQ(status_of(ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n")),
             "HTTP/1.1 502");
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, ACopyIsNotUsedOnceWeightsHaveChanged) {
-  // Found on the bench (STALE): the failed engine had new weights by the end of its run.
+TEST_F(GatewayTest, BackupIsNotUsedAfterAWeightChange) {
+  // Found in a bench run (STALE): the failed engine had new weights by the end of its run.
   const auto handler = [&](const SeenRequest& request) -> Script {
     const std::string head = "HTTP/1.1 200 OK\r\n" + own(request.header("X-Request-Id")) +
                              "X-Weights-Version: 2\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -304,12 +309,13 @@
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_EQ(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, AStreamWithoutACopyIsBrokenOff) {
+TEST_F(GatewayTest, StreamWithoutABackupIsAborted) {
   std::atomic<int> sends{0};
   const auto handler = [&](const SeenRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
@@ -323,12 +329,13 @@
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_EQ(answer.find("\r\n0\r\n\r\n"), std::string::npos);
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(sends, 2);
 }
 
-TEST_F(GatewayTest, NamesTheExpectedWeightsAndLearnsNewerOnesFromAnswers) {
+TEST_F(GatewayTest, SendsTheExpectedWeightsAndLearnsNewerOnesFromResponses) {
   std::atomic<int> sends{0};
   ScriptedEngine engine([&](const SeenRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
@@ -341,80 +348,87 @@
     return {send_step(stream_head(id) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
-  const std::string answer = ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  EXPECT_EQ(status_of(answer), "HTTP/1.1 200");
+  const std::string response =
+      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  EXPECT_EQ(status_of(response), "HTTP/1.1 200");
   EXPECT_EQ(engine.requests().size(), 2U);
 }
 
-TEST_F(GatewayTest, TellsTheOtherRoutersWhoHoldsAChain) {
+TEST_F(GatewayTest, AnnouncesTheHolderOfAPromptChainToOtherRouters) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
-  // Another router, as control sees it.
-  auto heard = std::make_shared<std::vector<fleet::ChainPlacement>>();
-  auto greeted = std::make_shared<std::atomic<bool>>(false);
+  // Acts as another router towards the control plane.
+  auto received_placements = std::make_shared<std::vector<fleet::ChainPlacement>>();
+  auto first_message_received = std::make_shared<std::atomic<bool>>(false);
   const auto channel = on_loop([&] {
-    auto opened = wire::Channel::connect(
+    auto new_channel = wire::Channel::connect(
         loop_, control_endpoint_,
-        [heard, greeted](const std::shared_ptr<wire::Channel>&, const wire::Message& message) {
-          if (const auto* news = std::get_if<fleet::FleetNews>(&message.value)) {
-            heard->insert(heard->end(), news->placements.begin(), news->placements.end());
+        [received_placements, first_message_received](const std::shared_ptr<wire::Channel>&,
+                                                      const wire::Message& message) {
+          if (const auto* feed_update = std::get_if<fleet::FleetNews>(&message.value)) {
+            received_placements->insert(received_placements->end(), feed_update->placements.begin(),
+                                        feed_update->placements.end());
           }
-          *greeted = true;
+          *first_message_received = true;
         },
         [](const std::shared_ptr<wire::Channel>&) {});
     fleet::RouterStatus status;
     status.router.name = "r2";
     status.sequence = 1;
     status.follows = true;
-    opened->send(status);
-    return opened;
+    new_channel->send(status);
+    return new_channel;
   });
-  ASSERT_TRUE(wait_for([&] { return greeted->load(); }));
-  ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
-  ASSERT_TRUE(wait_for([&] { return !heard->empty(); }));
-  EXPECT_EQ(heard->front().holder, "e1");
-  EXPECT_EQ(heard->front().weights, 1U);
-  EXPECT_EQ(heard->front().links.size(), 1U);  // the last part is the request's own
+  ASSERT_TRUE(wait_for([&] { return first_message_received->load(); }));
+  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  ASSERT_TRUE(wait_for([&] { return !received_placements->empty(); }));
+  EXPECT_EQ(received_placements->front().holder, "e1");
+  EXPECT_EQ(received_placements->front().weights, 1U);
+  EXPECT_EQ(received_placements->front().links.size(), 1U);  // the last part belongs to the request alone
   on_loop([&] {
     channel->close();
     return true;
   });
 }
 
-TEST_F(GatewayTest, TakesCacheFromTheEngineThatHoldsIt) {
+TEST_F(GatewayTest, FetchesKvCacheFromTheEngineThatHoldsIt) {
   const auto stream = [](const SeenRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   };
   ScriptedEngine first(stream);
   ScriptedEngine second(stream);
   add_engine("e1", "models", first);
-  ask("POST", "/stream/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
+  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   ASSERT_EQ(first.requests().size(), 1U);
   EXPECT_EQ(first.requests()[0].header("X-Kv-Source"), "");
   add_engine("e2", "models", second);
-  // The holder takes no more requests, but is there still.
+  // The holder is draining: it takes no more requests, but still runs.
   test::run_on(control_loop_, [&] {
     control_->commit(fleet::RetireBackend{"e1", fleet::BackendState::kDraining}, [](bool) {});
     return true;
   });
-  // The retirement reaches the router some time later; until then the holder itself is asked.
-  const auto give_up_at = std::chrono::steady_clock::now() + 5s;
-  for (int tries = 0; second.requests().empty() && std::chrono::steady_clock::now() < give_up_at; ++tries) {
-    ask("POST", "/stream/", "q2-" + std::to_string(tries), std::string(kChain) + "Content-Length: 0\r\n");
+  // The retirement reaches the router some time later; until then the holder itself gets the requests.
+  const auto deadline = std::chrono::steady_clock::now() + 5s;
+  for (int attempts = 0; second.requests().empty() && std::chrono::steady_clock::now() < deadline;
+       ++attempts) {
+    ask("POST", "/stream/", "q2-" + std::to_string(attempts),
+        std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   }
   ASSERT_FALSE(second.requests().empty());
   EXPECT_EQ(second.requests()[0].header("X-Kv-Source"), first.address());
 }
 
-TEST_F(GatewayTest, KeepsAnIsolatedTenantsCacheApart) {
+TEST_F(GatewayTest, SeparatesTheCacheOfAnIsolatedTenant) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
-  ask("POST", "/stream/", "q1", std::string(kChain) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n", "k1");
-  ask("POST", "/stream/", "q2", std::string(kChain) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n", "k2");
+  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n",
+      "k1");
+  ask("POST", "/stream/", "q2", std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n",
+      "k2");
   ASSERT_EQ(engine.requests().size(), 2U);
   const std::string shared = engine.requests()[0].header("X-Cache-Salt");
   const std::string isolated = engine.requests()[1].header("X-Cache-Salt");
@@ -423,7 +437,7 @@
   EXPECT_NE(isolated, "mine");
 }
 
-TEST_F(GatewayTest, SendsNothingToABackEndThatIsRetired) {
+TEST_F(GatewayTest, SendsNothingToARetiredBackend) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
@@ -434,14 +448,14 @@
   });
   ASSERT_TRUE(done->get_future().get());
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  // A heartbeat that was on its way must not bring it back.
+  // A heartbeat that was in transit must not bring it back.
   add_engine("e1", "calls", engine);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 503");
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
-TEST_F(GatewayTest, ObeysTheHighestConfigurationAndNeverGoesBack) {
+TEST_F(GatewayTest, AppliesOnlyTheHighestConfigurationVersion) {
   fleet::FleetConfiguration next = make_configuration(5);
   next.routes.erase(next.routes.begin());
   ASSERT_TRUE(configure(next));
@@ -452,7 +466,7 @@
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 404");
 }
 
-TEST_F(GatewayTest, HonoursNoKeyOnceControlIsSilentForTooLong) {
+TEST_F(GatewayTest, RejectsKeysAfterControlIsSilentForTooLong) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
--- a/tests/unit/suspended_machine_test.cc
+++ b/tests/unit/suspended_machine_test.cc
@@ -1,4 +1,4 @@
-/// A machine that was suspended: the steady clock does not count that time, only the clock since the boot
+/// A suspended machine: the monotonic clock does not count the time of a suspension, only the boot-time clock
 /// does.
 #include <sys/syscall.h>
 #include <unistd.h>
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// For how long this process's machine has been suspended, in seconds.
+/// How long this process's machine appears to have been suspended, in seconds.
 std::atomic<time_t> suspended_s{0};
 
 }  // namespace
 
-/// Takes the place of the library's function, which the programs call.
+/// Replaces the library function that the programs call.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
   const auto result = static_cast<int>(::syscall(SYS_clock_gettime, clock, time));
   if (clock == CLOCK_BOOTTIME) {
@@ -28,7 +28,7 @@
 
 using test::status_of;
 
-/// Longer than routers may honour keys without a confirmation.
+/// Longer than routers may accept keys without a confirmation.
 constexpr time_t kLongSuspension = 60;
 
 class SuspendedMachineTest : public test::SmallFleet {
@@ -37,7 +37,7 @@
   void TearDown() override { suspended_s = 0; }
 };
 
-TEST_F(SuspendedMachineTest, KeysAreNotHonouredOnALeaseThatEndedMeanwhile) {
+TEST_F(SuspendedMachineTest, KeysAreRejectedAfterTheLeaseEndsDuringASuspension) {
   standins::ScriptedEngine engine([](const standins::SeenRequest& seen) { return test::succeed(seen); });
   add_engine("engine", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "before")), "HTTP/1.1 200");
@@ -47,7 +47,7 @@
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
-TEST(ClockOfThePrograms, CountsTheTimeInWhichTheMachineWasSuspended) {
+TEST(MonotonicClock, CountsTheTimeSpentSuspended) {
   const TimePoint before = monotonic_now();
   suspended_s = kLongSuspension;
   EXPECT_GE(monotonic_now() - before, std::chrono::seconds(kLongSuspension));
