--- a/src/events/rollout_events.h
+++ b/src/events/rollout_events.h
@@ -19,7 +19,7 @@
       return "trial";
     case fleet::RolloutPhase::kSwitching:
       return "switching";
-    case fleet::RolloutPhase::kReturning:
+    case fleet::RolloutPhase::kRollingBack:
       return "returning";
     case fleet::RolloutPhase::kCompleted:
       return "completed";
--- a/src/gateway/control_link.cc
+++ b/src/gateway/control_link.cc
@@ -217,14 +217,14 @@
   if (found == members_.end()) {
     return;
   }
-  if (const auto* feed_update = std::get_if<fleet::FleetNews>(&message.value)) {
+  if (const auto* feed_update = std::get_if<fleet::FleetFeedUpdate>(&message.value)) {
     found->second.last_message_at = loop_.now();
     if (address == feed_address_) {
       on_feed_update_(*feed_update);
     }
     return;
   }
-  if (const auto* permit_answer = std::get_if<fleet::PermitAnswer>(&message.value)) {
+  if (const auto* permit_answer = std::get_if<fleet::PermitResponse>(&message.value)) {
     found->second.last_message_at = loop_.now();
     on_permit_answer_(*permit_answer);
     return;
--- a/src/gateway/control_link.h
+++ b/src/gateway/control_link.h
@@ -39,9 +39,9 @@
 class ControlLink {
  public:
   using UpdateHandler = std::function<void(const fleet::FleetUpdate&)>;
-  using FeedUpdateHandler = std::function<void(const fleet::FleetNews&)>;
+  using FeedUpdateHandler = std::function<void(const fleet::FleetFeedUpdate&)>;
   using StatusProvider = std::function<fleet::RouterStatus()>;
-  using PermitHandler = std::function<void(const fleet::PermitAnswer&)>;
+  using PermitHandler = std::function<void(const fleet::PermitResponse&)>;
 
   ControlLink(EventLoop& loop, ControlLinkOptions options, StatusProvider make_status,
               UpdateHandler on_update, FeedUpdateHandler on_feed_update);
@@ -109,7 +109,7 @@
   StatusProvider make_status_;
   UpdateHandler on_update_;
   FeedUpdateHandler on_feed_update_;
-  PermitHandler on_permit_answer_ = [](const fleet::PermitAnswer&) {};
+  PermitHandler on_permit_answer_ = [](const fleet::PermitResponse&) {};
   Logger log_{"link"};
   std::shared_ptr<wire::TrafficMeter> traffic_ = std::make_shared<wire::TrafficMeter>();
   std::map<std::string, Member> members_;  ///< by internal address
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void GatewayServer::on_feed_update(const fleet::FleetNews& feed_update) {
+void GatewayServer::on_feed_update(const fleet::FleetFeedUpdate& feed_update) {
   if (feed_update.anew) {
     receiving_full_state_ = true;
     loads_reported_ = false;
@@ -24,7 +24,7 @@
     pool_.forget_totals();
     pool_.forget_holdings();
     context_.stores.forget_holdings();
-    context_.quotas.begin_feed();
+    context_.quotas.on_member_change();
   }
   for (const fleet::QuotaLevel& level : feed_update.quotas) {
     context_.quotas.on_level(level);
@@ -43,7 +43,7 @@
   for (const fleet::BackendLoad& load : feed_update.loads) {
     pool_.set_total_load(load);
   }
-  pool_.note_totals_told(loop_.now());
+  pool_.note_totals_current(loop_.now());
   cache_event_validity_.until = loop_.now() + kCacheEventValidity;
   for (const fleet::CacheChanges& changes : feed_update.caches) {
     apply_cache_changes(changes);
@@ -53,7 +53,7 @@
   }
 }
 
-void GatewayServer::update_backends(const fleet::FleetNews& feed_update) {
+void GatewayServer::update_backends(const fleet::FleetFeedUpdate& feed_update) {
   std::vector<events::BackendChanged> changes;
   for (const fleet::BackendRecord& record : feed_update.backends) {
     const dispatch::BackendPtr existing = pool_.find(record.id);
@@ -80,14 +80,14 @@
 
 void GatewayServer::apply_limits(const std::vector<fleet::BackendLimit>& limits) {
   for (const fleet::BackendLimit& limit : limits) {
-    const auto change = context_.limits.note_told(limit, loop_.now());
+    const auto change = context_.limits.apply_shared_limit(limit, loop_.now());
     if (change && request_log_sampler_.take_lines(1, "limit changed", loop_.now())) {
       log_.event(events::BackendLimitChanged{change->backend, change->per_second, change->before, "control"});
     }
   }
 }
 
-void GatewayServer::ask_for_permits() {
+void GatewayServer::request_permits() {
   if (std::exchange(permit_request_pending_, true)) {
     return;
   }
@@ -96,7 +96,7 @@
     if (!control_link_.has_leader()) {
       return;
     }
-    const fleet::PermitQuestion permit_request = context_.limits.take_question(loop_.now());
+    const fleet::PermitRequest permit_request = context_.limits.take_permit_request(loop_.now());
     if (!permit_request.wishes.empty()) {
       control_link_.send_to_leader(permit_request);
     }
@@ -111,8 +111,8 @@
 void GatewayServer::report_loads() {
   std::vector<fleet::BackendLoad> loads = pool_.own_loads();
   if (loads_reported_ && loads == reported_loads_ && unreported_unreachable_.empty() &&
-      !context_.quotas.has_untold() && !context_.answers.has_changes() && !context_.limits.has_untold() &&
-      !context_.crashes.has_changes()) {
+      !context_.quotas.has_unreported() && !context_.answers.has_changes() &&
+      !context_.limits.has_unreported() && !context_.crashes.has_changes()) {
     return;
   }
   fleet::RouterLoads message{settings_.name, loads, {}};
@@ -120,26 +120,26 @@
   if (!control_link_.has_feed_member()) {
     return;
   }
-  admission::NumberedSpending spending = context_.quotas.take_untold();
+  admission::NumberedSpending spending = context_.quotas.take_unreported();
   message.spending = std::move(spending.spending);
-  message.spending_number = spending.number;
+  message.spending_sequence = spending.number;
   message.start_id = start_id_;
-  message.answers_anew = !loads_reported_;
+  message.answers_are_complete = !loads_reported_;
   message.crashes = context_.crashes.take_changes(loop_.now());
   if (!loads_reported_) {
     message.crashes = context_.crashes.all(loop_.now());
   }
-  message.limits = context_.limits.take_untold(!loads_reported_);
+  message.limits = context_.limits.take_unreported(!loads_reported_);
   message.answers = loads_reported_ ? context_.answers.take_changes() : context_.answers.take_all();
   if (control_link_.send_to_feed_member(message)) {
     loads_reported_ = true;
     unreported_unreachable_.clear();
-    pool_.set_told_loads(loads);
+    pool_.set_published_loads(loads);
     reported_loads_ = std::move(loads);
   }
 }
 
-void GatewayServer::tell_placement(fleet::ChainPlacement placement) {
+void GatewayServer::announce_placement(fleet::ChainPlacement placement) {
   if (pending_placements_.placements.empty()) {
     loop_.after(kPlacementBatchDelay, [this] {
       control_link_.send_to_feed_member(pending_placements_);
@@ -178,12 +178,12 @@
 }
 
 void GatewayServer::apply_part_changes(const fleet::CacheChanges& changes,
-                                       placement::ChainMemory& memory) const {
+                                       placement::KvCacheEstimate& memory) const {
   memory.follow(changes.followed ? &cache_event_validity_ : nullptr);
   if (changes.anew) {
     memory.forget_holdings();
   }
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  for (const fleet::CachedPart& holding : changes.holdings) {
     if (holding.tokens == 0) {
       memory.drop_holding(holding.part);
     } else {
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -52,7 +52,7 @@
   // Requests that arrive until then are still served; the longest streams take most of the remaining time.
   settings.stop_listening_after = settings.shutdown_timeout * 3 / 10;
   // Requests wait at the engine before they run.
-  settings.old_weights_limit =
+  settings.old_weights_timeout =
       Duration(1000 * reader.integer("weights_limit_ms", 8000, 0, 3600000)) - kEngineQueueMargin;
   settings.max_startup_wait = Duration(1000 * reader.integer("start_wait_ms", 2500, 0, 60000));
   settings.request_log_options.lines_per_second = reader.number("log_lines_per_second", 200, 0, 1e6);
@@ -87,31 +87,37 @@
       control_link_(
           loop, settings.link, [this] { return make_status(); },
           [this](const fleet::FleetUpdate& update) { on_update(update); },
-          [this](const fleet::FleetNews& feed_update) { on_feed_update(feed_update); }),
+          [this](const fleet::FleetFeedUpdate& feed_update) { on_feed_update(feed_update); }),
       edge_(loop, settings.listen, *this, settings.buffer_limits) {
   context_.random = Random(seed_from_device());
-  context_.quotas = admission::QuotaGate(settings.quotas, seed_from_device());
-  context_.crashes = admission::CrashBook(settings.quarantine);
-  context_.note_standing = [this](uint64_t request, const char* source) { log_standing(request, source); };
-  context_.starts_until = loop.now() + settings.max_startup_wait;
-  context_.ask_for_permits = [this] { ask_for_permits(); };
+  context_.quotas = admission::QuotaEnforcer(settings.quotas, seed_from_device());
+  context_.crashes = admission::CrashHistory(settings.quarantine);
+  context_.log_standing_change = [this](uint64_t request, const char* source) {
+    log_standing(request, source);
+  };
+  context_.startup_ends_at = loop.now() + settings.max_startup_wait;
+  context_.request_permits = [this] { request_permits(); };
   control_link_.set_permit_handler(
-      [this](const fleet::PermitAnswer& response) { context_.limits.on_answer(response, loop_.now()); });
+      [this](const fleet::PermitResponse& response) { context_.limits.on_answer(response, loop_.now()); });
   context_.topology = settings.topology;
-  context_.place = settings.topology.place_of(settings.zone);
+  context_.place = settings.topology.location_of(settings.zone);
   context_.budget_options = settings.budget;
-  context_.sharing_routers = delivery::SharingRouters(settings.routers_settle);
-  context_.old_weights_limit = settings.old_weights_limit;
-  context_.load_limits.useful_queue = settings.useful_engine_queue;
-  context_.longest_return = settings.longest_retry_after;
+  context_.router_count_estimate = delivery::RouterCountEstimate(settings.routers_settle);
+  context_.old_weights_timeout = settings.old_weights_timeout;
+  context_.admission_thresholds.max_useful_engine_queue = settings.useful_engine_queue;
+  context_.max_retry_after = settings.longest_retry_after;
   pool_.set_probe_handler([this](const dispatch::BackendPtr& backend, dispatch::ProbeResult result) {
     on_probe_ended(backend, result);
   });
   context_.note_crash = [this](dispatch::Backend& backend, const char* detected_by) {
     confirm_crash(backend, detected_by);
   };
-  context_.tell_unreachable = [this](const std::string& backend) { unreported_unreachable_.insert(backend); };
-  context_.tell_placement = [this](fleet::ChainPlacement placement) { tell_placement(std::move(placement)); };
+  context_.report_unreachable = [this](const std::string& backend) {
+    unreported_unreachable_.insert(backend);
+  };
+  context_.announce_placement = [this](fleet::ChainPlacement placement) {
+    announce_placement(std::move(placement));
+  };
   loop_.every(kLoadReportInterval, [this] {
     check_silence();
     report_loads();
@@ -146,11 +152,11 @@
 }
 
 void GatewayServer::log_limit_usage() {
-  std::vector<admission::LimitUse> usages = context_.limits.take_use();
+  std::vector<admission::LimitUsage> usages = context_.limits.take_usage();
   if (usages.size() > kMaxLimitUsageLines) {
     usages.resize(kMaxLimitUsageLines);
   }
-  for (const admission::LimitUse& use : usages) {
+  for (const admission::LimitUsage& use : usages) {
     log_.event(events::LimitedBackendUsed{use.backend, use.per_second, use.sent,
                                           to_milliseconds(kLimitUsageLogInterval)});
   }
@@ -186,7 +192,7 @@
     apply_configuration(configuration);
   }
   pool_.retire(update.retired);
-  for (const fleet::NamedVersion& named : update.weights) {
+  for (const fleet::TargetWeightsVersion& named : update.weights) {
     fleet::VersionHistory& target_versions = context_.wanted[named.model];
     if (named.version > target_versions.newest()) {
       log_.event(events::WeightsNamed{named.model, named.version, named.age_ms});
@@ -195,10 +201,10 @@
   }
   if (update.router_count > 0) {
     context_.router_count = update.router_count;
-    context_.sharing_routers.note(update.router_count, loop_.now());
+    context_.router_count_estimate.note(update.router_count, loop_.now());
     context_.quotas.set_router_count(update.router_count);
   }
-  context_.quotas.confirm(update.spending_taken);
+  context_.quotas.confirm(update.acknowledged_spending_sequence);
   store_rollouts(update);
 }
 
@@ -220,7 +226,7 @@
                                           configuration.tenants.size()});
 }
 
-void GatewayServer::refuse(const dispatch::RunPlan& plan, edge::CallerAnswer& response, int status,
+void GatewayServer::refuse(const dispatch::RoutedRequest& plan, edge::CallerAnswer& response, int status,
                            const char* reason, double retry_after_s) {
   edge::AnswerHead head;
   head.status = status;
@@ -240,7 +246,7 @@
   response.reply(head, std::string(reason) + "\n");
 }
 
-bool GatewayServer::admit(dispatch::RunPlan& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
   if (route_table_ == nullptr) {
     refuse(plan, response, kUnavailable, "no configuration yet", kStartupRetryAfterS);
     return false;
@@ -252,7 +258,7 @@
     refuse(plan, response, kNotFound, "no route");
     return false;
   }
-  if (plan.fields.malformed_tokens) {
+  if (plan.fields.malformed_token_counts) {
     refuse(plan, response, kBadRequest, malformed_token_counts_message_.c_str());
     return false;
   }
@@ -262,7 +268,7 @@
   return admit_key(plan, response) && admit_quota(plan, response);
 }
 
-bool GatewayServer::admit_key(dispatch::RunPlan& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit_key(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
   plan.tenant = route_table_->tenant_of_key(plan.fields.key);
   if (settings_.fail_closed && !control_link_.key_lease_valid()) {
     refuse(plan, response, kUnavailable, "keys can't be confirmed", kStartupRetryAfterS);
@@ -275,13 +281,13 @@
   return true;
 }
 
-bool GatewayServer::admit_quota(dispatch::RunPlan& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit_quota(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
   const fleet::TenantQuota& quota = plan.tenant->quota;
   if (!quota.limited()) {
     return true;
   }
   const dispatch::RequestFields& fields = plan.fields;
-  const auto tokens = fields.names_tokens
+  const auto tokens = fields.has_token_counts
                           ? std::optional<uint64_t>(uint64_t{fields.prompt_tokens} + fields.output_tokens)
                           : std::nullopt;
   plan.quota_cost = quota.cost_of(tokens);
@@ -337,7 +343,7 @@
 
 void GatewayServer::serve(edge::CallerRequest request, const std::shared_ptr<edge::CallerAnswer>& response,
                           TimePoint arrived) {
-  dispatch::RunPlan plan;
+  dispatch::RoutedRequest plan;
   plan.arrived = arrived;
   plan.fields = dispatch::read_fields(request.headers, names_);
   plan.request = std::move(request);
@@ -345,15 +351,15 @@
     return;
   }
   plan.service = traffic_splitter_.choose(*plan.route);
-  const auto active_request = std::make_shared<dispatch::RequestRun>(
+  const auto active_request = std::make_shared<dispatch::ActiveRequest>(
       context_, std::move(plan), response,
-      [this](dispatch::RequestRun* ended) { active_requests_.erase(ended->answer()); });
+      [this](dispatch::ActiveRequest* ended) { active_requests_.erase(ended->answer()); });
   active_requests_[response.get()] = active_request;
   active_request->start();
 }
 
 void GatewayServer::check_silence() {
-  std::vector<std::shared_ptr<dispatch::RequestRun>>
+  std::vector<std::shared_ptr<dispatch::ActiveRequest>>
       running;  // copied: a request that ends is removed from the map
   running.reserve(active_requests_.size());
   for (const auto& [response, active_request] : active_requests_) {
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 #include "src/edge/edge_server.h"
 #include "src/gateway/control_link.h"
 #include "src/gateway/startup_queue.h"
@@ -28,11 +28,11 @@
   bool fail_closed = true;             ///< access keys are rejected without a confirmed configuration
   Duration shutdown_timeout = 7s;      ///< from SIGTERM to the end of the process at the latest
   Duration stop_listening_after = 3s;  ///< from SIGTERM until new connections are refused
-  Duration old_weights_limit = 6s;
+  Duration old_weights_timeout = 6s;
   /// How long a request may wait for a router that has just started. Control members elect a leader within a
   /// second of a restart, and the first heartbeats of backends arrive within a second or so.
   Duration max_startup_wait = 2500ms;
-  delivery::WindowBudgetOptions budget;
+  delivery::RetryBudgetOptions budget;
   admission::QuotaTolerance quotas;
   /// How long a lower router count must hold before the retry limit uses it. Equal to the window of the
   /// limit.
@@ -71,14 +71,14 @@
 
  private:
   void on_update(const fleet::FleetUpdate& update);
-  void on_feed_update(const fleet::FleetNews& feed_update);
+  void on_feed_update(const fleet::FleetFeedUpdate& feed_update);
   /// Adds new backends, updates changed ones, and removes those that are gone.
-  void update_backends(const fleet::FleetNews& feed_update);
+  void update_backends(const fleet::FleetFeedUpdate& feed_update);
   void remove_backend(const std::string& id);
   /// Applies backend limits that other routers have received.
   void apply_limits(const std::vector<fleet::BackendLimit>& limits);
   /// Requests permits from the leader, once for all requests of one loop iteration.
-  void ask_for_permits();
+  void request_permits();
   void record_placement(const fleet::ChainPlacement& placement);
   void apply_cache_changes(const fleet::CacheChanges& changes);
   /// Reports this router's load on each backend to the feed member, if it has changed.
@@ -110,9 +110,9 @@
   void log_standing(uint64_t request, const char* source);
   /// Removes expired crash records and updates the metrics of suspect and quarantined requests.
   void expire_crash_records();
-  void apply_part_changes(const fleet::CacheChanges& changes, placement::ChainMemory& memory) const;
+  void apply_part_changes(const fleet::CacheChanges& changes, placement::KvCacheEstimate& memory) const;
   /// Queues a placement for the other routers, which receive it in the next batch.
-  void tell_placement(fleet::ChainPlacement placement);
+  void announce_placement(fleet::ChainPlacement placement);
   void apply_configuration(const fleet::FleetConfiguration& configuration);
   fleet::RouterStatus make_status();
   // Implemented in gateway_rollouts.cc: services that are moved to another version.
@@ -123,8 +123,8 @@
   void report_drained_versions();
   void log_key_lease_change();
   /// `retry_after_s` is sent as Retry-After; 0: no Retry-After.
-  void refuse(const dispatch::RunPlan& plan, edge::CallerAnswer& response, int status, const char* reason,
-              double retry_after_s = 0);
+  void refuse(const dispatch::RoutedRequest& plan, edge::CallerAnswer& response, int status,
+              const char* reason, double retry_after_s = 0);
   /// Returns true until the router can first decide about requests after its start.
   bool starting() const;
   /// Queues a request until the router can decide about it. Returns false when the queue is full.
@@ -133,11 +133,11 @@
   void process_startup_queue();
   void serve(edge::CallerRequest request, const std::shared_ptr<edge::CallerAnswer>& response,
              TimePoint arrived);
-  bool admit(dispatch::RunPlan& plan, edge::CallerAnswer& response);
+  bool admit(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
   /// Finds the tenant of the access key. Returns false when the request was refused.
-  bool admit_key(dispatch::RunPlan& plan, edge::CallerAnswer& response);
+  bool admit_key(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
   /// Charges the tenant's quota. Returns false when the request was refused.
-  bool admit_quota(dispatch::RunPlan& plan, edge::CallerAnswer& response);
+  bool admit_quota(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
   void check_shutdown();
 
   EventLoop& loop_;
@@ -147,14 +147,14 @@
   Logger log_{"router"};
   Metrics metrics_;
   events::StoryBook request_log_sampler_;
-  placement::EventTrust cache_event_validity_;  ///< of all caches that the feed reports
+  placement::EventValidity cache_event_validity_;  ///< of all caches that the feed reports
   dispatch::BackendPool pool_;
   uint64_t start_id_ = 0;  ///< of this process
   /// By rollout id: true if this router reported that no request runs at other versions.
   std::map<uint64_t, bool> other_versions_idle_;
   dispatch::DispatchContext context_;
   std::shared_ptr<const routing::RouteTable> route_table_;
-  routing::SplitChooser traffic_splitter_;
+  routing::TrafficSplitter traffic_splitter_;
   std::set<std::string> unlisted_backends_;         ///< known backends that a new feed has not listed yet
   bool receiving_full_state_ = false;               ///< the first full state of a feed is not complete yet
   bool quotas_known_ = false;                       ///< a feed has reported which quotas are metered
@@ -162,8 +162,8 @@
   bool loads_reported_ = false;                     ///< to the current feed member
   std::set<std::string> unreported_unreachable_;    ///< backends found unreachable since the last report
   bool key_lease_logged_as_held_ = false;           ///< as last logged
-  fleet::PlacementNews pending_placements_;
-  std::map<const edge::CallerAnswer*, std::shared_ptr<dispatch::RequestRun>> active_requests_;
+  fleet::PlacementUpdate pending_placements_;
+  std::map<const edge::CallerAnswer*, std::shared_ptr<dispatch::ActiveRequest>> active_requests_;
   StartupQueue startup_queue_;
   ControlLink control_link_;
   edge::EdgeServer edge_;
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -367,7 +367,7 @@
         loop_, control_endpoint_,
         [received_placements, first_message_received](const std::shared_ptr<wire::Channel>&,
                                                       const wire::Message& message) {
-          if (const auto* feed_update = std::get_if<fleet::FleetNews>(&message.value)) {
+          if (const auto* feed_update = std::get_if<fleet::FleetFeedUpdate>(&message.value)) {
             received_placements->insert(received_placements->end(), feed_update->placements.begin(),
                                         feed_update->placements.end());
           }
