--- a/src/common/command_line.cc
+++ b/src/common/command_line.cc
@@ -20,9 +20,9 @@
   CommandLine result;
   const poptOption options[] = {
       {"settings", 's', POPT_ARG_STRING, nullptr, kSettings, "TOML settings file", "FILE"},
-      {"set", 'S', POPT_ARG_STRING, nullptr, kSet, "one setting laid over the file; may be repeated",
+      {"set", 'S', POPT_ARG_STRING, nullptr, kSet, "override one setting of the file; may be repeated",
        "KEY=VALUE"},
-      {"check", 'c', POPT_ARG_NONE, nullptr, kCheck, "check the settings, report every finding, and stop",
+      {"check", 'c', POPT_ARG_NONE, nullptr, kCheck, "validate the settings, print all findings and exit",
        nullptr},
       {"log-level", 'l', POPT_ARG_STRING, nullptr, kLogLevel, "debug, info, warning or error", "LEVEL"},
       {"version", 'V', POPT_ARG_NONE, nullptr, kVersion, "print the version and stop", nullptr},
@@ -66,13 +66,13 @@
   return result;
 }
 
-void finish_settings(const CommandLine& command_line, const Findings& findings) {
+void exit_if_invalid_or_check(const CommandLine& command_line, const Findings& findings) {
   if (!findings.empty()) {
     std::cerr << findings.to_text();
     std::exit(kExitBadInput);
   }
   if (command_line.check_only) {
-    std::cout << "settings are good\n";
+    std::cout << "settings are valid\n";
     std::exit(0);
   }
 }
--- a/src/common/command_line.h
+++ b/src/common/command_line.h
@@ -1,4 +1,5 @@
-/// The command line that all programs share: --settings, --set, --check, --log-level, --help, --version.
+/// Command line options common to all server programs: --settings, --set, --check, --log-level, --help,
+/// --version.
 #pragma once
 
 #include <functional>
@@ -10,31 +11,32 @@
 
 namespace stoat {
 
-/// Exit status of a program that was given wrong flags or settings.
+/// Exit status after invalid flags or settings.
 inline constexpr int kExitBadInput = 2;
 
-/// What was given on a program's command line.
+/// Parsed command line of a program.
 struct CommandLine {
-  std::string settings_file;
-  std::vector<std::string> overrides;  ///< "key=value" texts, in order
-  bool check_only = false;             ///< stop after the settings were found good
+  std::string settings_file;           ///< empty when none was given
+  std::vector<std::string> overrides;  ///< "key=value" strings, in command line order
+  bool check_only = false;             ///< exit after validating the settings
   std::string log_level = "info";
-  std::vector<std::string> arguments;  ///< what is not a flag
+  std::vector<std::string> arguments;  ///< positional arguments
 };
 
-/// Parses the flags. Prints help, version or the error, and exits, where that is what was asked for.
+/// Parses the command line and configures logging. For --help, --version and invalid flags, prints the
+/// corresponding text and exits.
 CommandLine parse_command_line(int argc, const char** argv, const std::string& program,
                                const std::string& description);
 
-/// Parses flags, loads the settings through `read`, and prints all findings and exits with kExitBadInput when
-/// there are any. Exits with 0 after --check.
+/// Loads the settings through `read`. If there are findings, prints all of them and exits with kExitBadInput.
+/// Exits with 0 after --check.
 template <typename Settings>
 Settings load_program_settings(const CommandLine& command_line,
                                const std::function<Settings(SettingsReader&)>& read);
 
-/// Prints the findings to standard error and exits with kExitBadInput when there are any; exits with 0 after
-/// --check.
-void finish_settings(const CommandLine& command_line, const Findings& findings);
+/// If there are findings, prints them to standard error and exits with kExitBadInput; otherwise exits with 0
+/// if --check was given.
+void exit_if_invalid_or_check(const CommandLine& command_line, const Findings& findings);
 
 template <typename Settings>
 Settings load_program_settings(const CommandLine& command_line,
@@ -43,7 +45,7 @@
   SettingsReader reader = SettingsReader::load(command_line.settings_file, command_line.overrides, findings);
   Settings settings = read(reader);
   reader.report_unknown_keys();
-  finish_settings(command_line, findings);
+  exit_if_invalid_or_check(command_line, findings);
   return settings;
 }
 
--- a/src/common/findings.h
+++ b/src/common/findings.h
@@ -1,4 +1,4 @@
-/// Findings: everything that is wrong with an input, each with its place, collected and reported together.
+/// Findings: all errors in an input, each with its position, collected and reported together.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace stoat {
 
-/// One thing wrong with an input.
+/// One error in an input.
 struct Finding {
   std::string file;  ///< file name, or a flag such as "--set"
   int line = 0;      ///< 1-based; 0 where the input has no lines
@@ -15,16 +15,16 @@
   std::string message;
 };
 
-/// "file:line:column: key: message", leaving out the parts that are unknown.
+/// Formats a finding as "file:line:column: key: message", omitting unknown parts.
 std::string to_string(const Finding& finding);
 
-/// A list of findings that grows while an input is checked.
+/// The findings collected while an input is validated.
 class Findings {
  public:
   void add(Finding finding) { list_.push_back(std::move(finding)); }
   bool empty() const { return list_.empty(); }
   const std::vector<Finding>& list() const { return list_; }
-  /// All findings, one to a line.
+  /// All findings, one per line.
   std::string to_text() const;
 
  private:
--- a/src/common/log.cc
+++ b/src/common/log.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Hands each line of easylogging++ to the writer, which never waits.
-class WriterCallback : public el::LogDispatchCallback {
+/// Passes each line of easylogging++ to the log writer, which never blocks.
+class LogWriterCallback : public el::LogDispatchCallback {
  protected:
   void handle(const el::LogDispatchData* data) override {
     standard_log_writer().write(data->logMessage()->message());
@@ -22,7 +22,7 @@
 
 std::string Logger::format(LogLevel level, std::string_view sentence,
                            std::initializer_list<LogField> fields) const {
-  return to_text(LogLine{log_now(), level, part_, std::string(sentence), fields});
+  return to_text(LogLine{log_now(), level, component_, std::string(sentence), fields});
 }
 
 void Logger::debug(std::string_view sentence, std::initializer_list<LogField> fields) const {
@@ -44,7 +44,7 @@
 }
 
 void Logger::write(LogTime time, std::string_view sentence, std::vector<LogField> fields) const {
-  LOG(INFO) << to_text(LogLine{time, LogLevel::kInfo, part_, std::string(sentence), std::move(fields)});
+  LOG(INFO) << to_text(LogLine{time, LogLevel::kInfo, component_, std::string(sentence), std::move(fields)});
 }
 
 void configure_logging(const std::string& level) {
@@ -52,14 +52,14 @@
   configuration.setToDefault();
   configuration.setGlobally(el::ConfigurationType::ToFile, "false");
   configuration.setGlobally(el::ConfigurationType::ToStandardOutput, "false");
-  const bool debug_on = level == "debug";
-  const bool info_on = debug_on || (level != "warning" && level != "error");
-  const bool warning_on = level != "error";
-  configuration.set(el::Level::Debug, el::ConfigurationType::Enabled, debug_on ? "true" : "false");
-  configuration.set(el::Level::Info, el::ConfigurationType::Enabled, info_on ? "true" : "false");
-  configuration.set(el::Level::Warning, el::ConfigurationType::Enabled, warning_on ? "true" : "false");
+  const bool debug_enabled = level == "debug";
+  const bool info_enabled = debug_enabled || (level != "warning" && level != "error");
+  const bool warning_enabled = level != "error";
+  configuration.set(el::Level::Debug, el::ConfigurationType::Enabled, debug_enabled ? "true" : "false");
+  configuration.set(el::Level::Info, el::ConfigurationType::Enabled, info_enabled ? "true" : "false");
+  configuration.set(el::Level::Warning, el::ConfigurationType::Enabled, warning_enabled ? "true" : "false");
   el::Loggers::reconfigureAllLoggers(configuration);
-  el::Helpers::installLogDispatchCallback<WriterCallback>("stoat writer");
+  el::Helpers::installLogDispatchCallback<LogWriterCallback>("stoat writer");
 }
 
 void flush_logs() { standard_log_writer().flush(); }
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -1,4 +1,4 @@
-/// Structured logging in one form; see log_line.h.
+/// Structured logging. The line format is described in log_line.h.
 #pragma once
 
 #include <initializer_list>
@@ -10,32 +10,33 @@
 
 namespace stoat {
 
-/// Writes lines with the fixed prefix of one part of the program.
+/// Writes log lines on behalf of one component of the program.
 class Logger {
  public:
-  explicit Logger(std::string part) : part_(std::move(part)) {}
+  explicit Logger(std::string component) : component_(std::move(component)) {}
   void debug(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
   void info(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
   void warning(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
   void error(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
 
-  /// Writes a typed event: a struct with `kSentence` and `fields()`.
+  /// Writes a typed event, a struct with `kSentence` and `fields()`, at level info.
   template <typename Event>
-  void event(const Event& what) const {
-    write(log_now(), Event::kSentence, what.fields());
+  void event(const Event& typed_event) const {
+    write(log_now(), Event::kSentence, typed_event.fields());
   }
-  /// Writes a line of information that stands for another time.
+  /// Writes a line at level info with the given time instead of the current time.
   void write(LogTime time, std::string_view sentence, std::vector<LogField> fields) const;
 
  private:
   std::string format(LogLevel level, std::string_view sentence, std::initializer_list<LogField> fields) const;
-  std::string part_;
+  std::string component_;
 };
 
-/// Directs log lines to standard output. `level` is debug, info, warning or error; anything else means info.
+/// Directs log lines to standard output. `level` is the lowest level that is written: debug, info, warning or
+/// error; any other value means info.
 void configure_logging(const std::string& level);
 
-/// Writes what waits for its reader, as far as that goes without waiting.
+/// Writes buffered log lines to standard output as far as possible without blocking.
 void flush_logs();
 
 }  // namespace stoat
--- a/src/common/log_line.cc
+++ b/src/common/log_line.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::array<const char*, 4> kLevelNames = {"DEBUG", "INFO", "WARNING", "ERROR"};
-/// "2026-12-02T12:37:17.241Z"
+/// Length of a time such as "2026-12-02T12:37:17.241Z".
 constexpr size_t kTimeLength = 24;
 
-std::string time_text(LogTime time) {
+std::string format_time(LogTime time) {
   const auto days = std::chrono::floor<std::chrono::days>(time);
   const std::chrono::year_month_day date(days);
   const std::chrono::hh_mm_ss<std::chrono::milliseconds> clock(time - days);
@@ -56,7 +56,7 @@
          });
 }
 
-std::string in_quotes(std::string_view value) {
+std::string quote(std::string_view value) {
   std::string text = "\"";
   for (const char c : value) {
     if (c == '\n') {
@@ -71,7 +71,7 @@
   return text + "\"";
 }
 
-/// Takes words and fields off the front of a text.
+/// Consumes words and fields from the front of a log line.
 class LineReader {
  public:
   explicit LineReader(std::string_view text) : rest_(text) {}
@@ -82,21 +82,21 @@
     }
     return rest_.empty();
   }
-  std::string_view word() {
+  std::string_view take_word() {
     const size_t end = std::min(rest_.find(' '), rest_.size());
     const std::string_view text = rest_.substr(0, end);
     rest_.remove_prefix(end);
     return text;
   }
-  /// Whether the next word is a field.
-  bool at_field() const { return rest_.substr(0, rest_.find(' ')).find('=') != std::string_view::npos; }
-  /// Reads key=value; nullopt when a quote is not closed.
-  std::optional<LogField> field() {
+  /// True when the next word is a key=value field.
+  bool next_is_field() const { return rest_.substr(0, rest_.find(' ')).find('=') != std::string_view::npos; }
+  /// Consumes a key=value field; nullopt when a quoted value is not terminated.
+  std::optional<LogField> take_field() {
     const size_t equals = rest_.find('=');
     const std::string key(rest_.substr(0, equals));
     rest_.remove_prefix(equals + 1);
     if (rest_.empty() || rest_.front() != '"') {
-      return LogField(key, word());
+      return LogField(key, take_word());
     }
     rest_.remove_prefix(1);
     std::string value;
@@ -120,11 +120,14 @@
   std::string_view rest_;
 };
 
-/// The position at which a time begins that a level and a part follow.
+/// The position of the first valid time that is followed by a space. Text before it, such as the prefix of a
+/// log collector, is skipped.
 std::optional<size_t> find_time(std::string_view text) {
-  for (size_t mark = text.find("Z "); mark != std::string_view::npos; mark = text.find("Z ", mark + 1)) {
-    if (mark + 1 >= kTimeLength && parse_time(text.substr(mark + 1 - kTimeLength, kTimeLength))) {
-      return mark + 1 - kTimeLength;
+  for (size_t zone_suffix = text.find("Z "); zone_suffix != std::string_view::npos;
+       zone_suffix = text.find("Z ", zone_suffix + 1)) {
+    if (zone_suffix + 1 >= kTimeLength &&
+        parse_time(text.substr(zone_suffix + 1 - kTimeLength, kTimeLength))) {
+      return zone_suffix + 1 - kTimeLength;
     }
   }
   return std::nullopt;
@@ -139,10 +142,10 @@
 }
 
 std::string to_text(const LogLine& line) {
-  std::string text = time_text(line.time) + " " + kLevelNames.at(static_cast<size_t>(line.level)) + " [" +
+  std::string text = format_time(line.time) + " " + kLevelNames.at(static_cast<size_t>(line.level)) + " [" +
                      line.part + "] " + line.sentence;
   for (const LogField& field : line.fields) {
-    text += " " + field.key + "=" + (needs_quotes(field.value) ? in_quotes(field.value) : field.value);
+    text += " " + field.key + "=" + (needs_quotes(field.value) ? quote(field.value) : field.value);
   }
   return text;
 }
@@ -158,25 +161,25 @@
   if (reader.at_end()) {
     return tl::make_unexpected("ends after its time");
   }
-  const std::string_view level = reader.word();
+  const std::string_view level = reader.take_word();
   const auto known = std::find(kLevelNames.begin(), kLevelNames.end(), level);
   if (known == kLevelNames.end()) {
     return tl::make_unexpected("has an unknown level '" + std::string(level) + "'");
   }
   line.level = static_cast<LogLevel>(known - kLevelNames.begin());
-  const std::string_view part = reader.at_end() ? std::string_view() : reader.word();
-  if (part.size() < 3 || part.front() != '[' || part.back() != ']') {
+  const std::string_view component = reader.at_end() ? std::string_view() : reader.take_word();
+  if (component.size() < 3 || component.front() != '[' || component.back() != ']') {
     return tl::make_unexpected("names no [part]");
   }
-  line.part = std::string(part.substr(1, part.size() - 2));
-  while (!reader.at_end() && !reader.at_field()) {
-    line.sentence += (line.sentence.empty() ? "" : " ") + std::string(reader.word());
+  line.part = std::string(component.substr(1, component.size() - 2));
+  while (!reader.at_end() && !reader.next_is_field()) {
+    line.sentence += (line.sentence.empty() ? "" : " ") + std::string(reader.take_word());
   }
   while (!reader.at_end()) {
-    if (!reader.at_field()) {
+    if (!reader.next_is_field()) {
       return tl::make_unexpected("has words after its first field");
     }
-    const auto field = reader.field();
+    const auto field = reader.take_field();
     if (!field) {
       return tl::make_unexpected("ends within quotes");
     }
--- a/src/common/log_line.h
+++ b/src/common/log_line.h
@@ -1,9 +1,9 @@
-/// One line of the log as data: written in one form, and read back from it.
+/// Log lines as data: formatting and parsing of the log format.
 ///
 ///     2026-12-02T12:37:17.241Z INFO [router] request ended request=q1 outcome="no back end" status=503
 ///
-/// Time (UTC), level, the part of the program, a short sentence, then key=value facts. A value that is empty
-/// or has a blank, a quote, a backslash, an equals sign or a control character stands in quotes, with \",
+/// Time (UTC), level, component, a short message, then key=value fields. A value that is empty or contains
+/// white space, a quote, a backslash, an equals sign or a control character is quoted, with the escapes \",
 /// \\ and \n.
 #pragma once
 
@@ -17,17 +17,17 @@
 
 namespace stoat {
 
-/// Wall-clock time with the resolution of the log.
+/// Wall-clock time with the millisecond resolution of the log.
 using LogTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// The present time for the log.
+/// The current wall-clock time.
 inline LogTime log_now() {
   return std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now());
 }
 
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 
-/// One key=value fact.
+/// One key=value field.
 struct LogField {
   LogField(std::string_view field_key, std::string_view text) : key(field_key), value(text) {}
   LogField(std::string_view field_key, const char* text) : key(field_key), value(text) {}
@@ -41,23 +41,23 @@
   std::string value;
 };
 
-/// See the head of this file.
+/// One parsed log line. The format is described at the top of this file.
 struct LogLine {
   LogTime time{};
   LogLevel level = LogLevel::kInfo;
-  std::string part;
-  std::string sentence;
+  std::string part;      ///< component that wrote the line
+  std::string sentence;  ///< message, without the fields
   std::vector<LogField> fields;
 
-  /// The value of a field, or an empty string.
+  /// The value of the first field with this key, or an empty string.
   std::string field(std::string_view key) const;
 };
 
-/// The line's text, without an end of line.
+/// Formats a line, without a line terminator.
 std::string to_text(const LogLine& line);
 
-/// Reads a line. The error says what is wrong with it. Text before the time (as a collector adds) is passed
-/// over.
+/// Parses a line. The error describes the first fault found. Text before the time, such as the prefix of a
+/// log collector, is skipped.
 tl::expected<LogLine, std::string> parse_log_line(std::string_view text);
 
 }  // namespace stoat
--- a/src/common/log_writer.cc
+++ b/src/common/log_writer.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// A pipe that poll() calls writable takes so many bytes without waiting.
-constexpr size_t kMaxWrite = PIPE_BUF;
+/// A pipe that poll() reports as writable accepts this many bytes without blocking.
+constexpr size_t kMaxWriteBytes = PIPE_BUF;
 
-bool writable(int descriptor) {
+bool is_writable(int descriptor) {
   pollfd entry{descriptor, POLLOUT, 0};
   return ::poll(&entry, 1, 0) > 0 && (entry.revents & POLLOUT) != 0;
 }
@@ -24,22 +24,22 @@
 
 void LogWriter::write(std::string_view line) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  drain();
-  tell_dropped();
-  if (waiting_.size() + line.size() + 1 > capacity_) {
+  write_pending();
+  report_dropped_lines();
+  if (pending_.size() + line.size() + 1 > capacity_) {
     ++dropped_;
     return;
   }
-  waiting_.append(line);
-  waiting_ += '\n';
-  drain();
+  pending_.append(line);
+  pending_ += '\n';
+  write_pending();
 }
 
 void LogWriter::flush() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  drain();
-  tell_dropped();
-  drain();
+  write_pending();
+  report_dropped_lines();
+  write_pending();
 }
 
 uint64_t LogWriter::dropped() const {
@@ -47,8 +47,8 @@
   return dropped_;
 }
 
-void LogWriter::tell_dropped() {
-  if (dropped_ == dropped_told_ || waiting_.size() > capacity_ / 2) {
+void LogWriter::report_dropped_lines() {
+  if (dropped_ == reported_dropped_ || pending_.size() > capacity_ / 2) {
     return;
   }
   LogLine line;
@@ -56,22 +56,22 @@
   line.level = LogLevel::kWarning;
   line.part = "log";
   line.sentence = "lines were lost, the reader was too slow";
-  line.fields = {{"lines", dropped_ - dropped_told_}};
-  waiting_ += to_text(line) + "\n";
-  dropped_told_ = dropped_;
+  line.fields = {{"lines", dropped_ - reported_dropped_}};
+  pending_ += to_text(line) + "\n";
+  reported_dropped_ = dropped_;
 }
 
-void LogWriter::drain() {
+void LogWriter::write_pending() {
   size_t written = 0;
-  while (written < waiting_.size() && writable(descriptor_)) {
+  while (written < pending_.size() && is_writable(descriptor_)) {
     const ssize_t count =
-        ::write(descriptor_, waiting_.data() + written, std::min(kMaxWrite, waiting_.size() - written));
+        ::write(descriptor_, pending_.data() + written, std::min(kMaxWriteBytes, pending_.size() - written));
     if (count <= 0) {
       break;
     }
     written += static_cast<size_t>(count);
   }
-  waiting_.erase(0, written);
+  pending_.erase(0, written);
 }
 
 LogWriter& standard_log_writer() {
--- a/src/common/log_writer.h
+++ b/src/common/log_writer.h
@@ -1,5 +1,6 @@
-/// Writes log lines to a descriptor without ever waiting for its reader. Lines wait in a bounded buffer;
-/// those that find it full are counted, and a line tells the count once there is room again.
+/// Writes log lines to a descriptor without ever blocking on a slow reader. Unwritten lines are kept in a
+/// bounded buffer. Lines that do not fit are dropped and counted; once at most half of the buffer is in use,
+/// a warning with their number is logged.
 #pragma once
 
 #include <cstddef>
@@ -10,34 +11,34 @@
 
 namespace stoat {
 
-/// See the head of this file. May be used from any thread.
+/// Non-blocking writer with a bounded buffer. Thread-safe.
 class LogWriter {
  public:
-  /// `descriptor` stays the caller's. `capacity`: bytes that may wait.
-  explicit LogWriter(int descriptor, size_t capacity = kDefaultCapacity)
+  /// The caller keeps ownership of `descriptor`. `capacity` is the size of the buffer in bytes.
+  explicit LogWriter(int descriptor, size_t capacity = kDefaultCapacityBytes)
       : descriptor_(descriptor), capacity_(capacity) {}
 
-  /// Takes a line without its end of line, and writes what can be written at once.
+  /// Queues a line, given without its line terminator, and writes as much as possible without blocking.
   void write(std::string_view line);
-  /// Writes what waits, as far as that goes without waiting.
+  /// Writes buffered lines as far as possible without blocking.
   void flush();
-  /// Lines lost so far.
+  /// Number of lines dropped so far.
   uint64_t dropped() const;
 
  private:
-  static constexpr size_t kDefaultCapacity = 256U << 10U;
-  void drain();
-  void tell_dropped();
+  static constexpr size_t kDefaultCapacityBytes = 256U << 10U;
+  void write_pending();
+  void report_dropped_lines();
 
   int descriptor_;
   size_t capacity_;
   mutable std::mutex mutex_;
-  std::string waiting_;
+  std::string pending_;
   uint64_t dropped_ = 0;
-  uint64_t dropped_told_ = 0;
+  uint64_t reported_dropped_ = 0;  ///< part of dropped_ that was already logged
 };
 
-/// The writer of this process's standard output.
+/// The writer for standard output of this process.
 LogWriter& standard_log_writer();
 
 }  // namespace stoat
--- a/src/common/metrics.cc
+++ b/src/common/metrics.cc
@@ -21,13 +21,13 @@
 }
 
 void Metrics::observe(const std::string& name, double seconds, const Labels& labels) {
-  static const prometheus::Histogram::BucketBoundaries bounds = {0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5,
-                                                                 0.8,  1.2,   2,    4,   8,   16};
+  static const prometheus::Histogram::BucketBoundaries bucket_bounds = {0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5,
+                                                                        0.8,  1.2,   2,    4,   8,   16};
   auto& family = histograms_[name];
   if (family == nullptr) {
     family = &prometheus::BuildHistogram().Name(name).Help("see docs/METRICS.md").Register(*registry_);
   }
-  family->Add(labels, bounds).Observe(seconds);
+  family->Add(labels, bucket_bounds).Observe(seconds);
 }
 
 std::string Metrics::to_text() const { return prometheus::TextSerializer().Serialize(registry_->Collect()); }
--- a/src/common/metrics.h
+++ b/src/common/metrics.h
@@ -1,4 +1,4 @@
-/// Counters, gauges and histograms of one process, served as Prometheus text. Names are listed in
+/// Counters, gauges and histograms of one process, exposed in the Prometheus text format. Names are listed in
 /// docs/METRICS.md.
 #pragma once
 
@@ -13,18 +13,18 @@
 
 namespace stoat {
 
-/// Owns the process's metrics. Used from the loop's thread only.
+/// Owns the metrics of a process. Must only be used from the event loop's thread.
 class Metrics {
  public:
   Metrics() : registry_(std::make_shared<prometheus::Registry>()) {}
 
   using Labels = std::map<std::string, std::string>;
 
-  /// Adds to a counter, which is made at its first use.
+  /// Adds `amount` to a counter, which is created on first use.
   void count(const std::string& name, const Labels& labels = {}, double amount = 1);
-  /// Sets a gauge, which is made at its first use.
+  /// Sets a gauge, which is created on first use.
   void set(const std::string& name, double value, const Labels& labels = {});
-  /// Adds to a histogram of seconds, which is made at its first use.
+  /// Adds an observation in seconds to a histogram, which is created on first use.
   void observe(const std::string& name, double seconds, const Labels& labels = {});
   /// All metrics in the Prometheus text format.
   std::string to_text() const;
--- a/src/common/random.h
+++ b/src/common/random.h
@@ -1,4 +1,4 @@
-/// The source of randomness that decision code is given. A seed makes every run repeatable.
+/// Seeded random numbers for decision code, so that a run can be repeated from its seed.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace stoat {
 
-/// A seeded generator. Owned by one object and used from one thread.
+/// A seeded generator. Not thread-safe.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
@@ -35,7 +35,7 @@
   std::mt19937_64 engine_;
 };
 
-/// A seed from the operating system, for programs that were given none.
+/// A seed from the operating system, for programs without a configured seed.
 inline uint64_t seed_from_device() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32U) | device();
--- a/src/common/server_program.h
+++ b/src/common/server_program.h
@@ -1,5 +1,5 @@
-/// The main function that all serving programs share: settings, an event loop, one server on it, and settings
-/// that change while it runs.
+/// The main function shared by all server programs: loads the settings, runs a server on an event loop and
+/// reloads the settings while it runs.
 #pragma once
 
 #include <sys/stat.h>
@@ -14,7 +14,7 @@
 
 namespace stoat {
 
-/// When a settings file was last changed; {0, 0} when there is none.
+/// Modification time of a file as seconds and nanoseconds; {0, 0} when it does not exist.
 inline std::pair<int64_t, int64_t> modification_time(const std::string& path) {
   struct stat status {};
   if (path.empty() || stat(path.c_str(), &status) != 0) {
@@ -23,8 +23,8 @@
   return {status.st_mtim.tv_sec, status.st_mtim.tv_nsec};
 }
 
-/// Reads the settings again and hands them to `server.reload(settings)`, where it has that. Settings with
-/// findings are reported and leave the server as it is.
+/// Reads the settings again and passes them to `server.reload(settings)` if the server has that method.
+/// Invalid settings are logged and do not affect the server.
 template <typename Server, typename Settings>
 void reload_settings(const CommandLine& command_line, Settings (*read)(SettingsReader&), Server& server) {
   if constexpr (requires(const Settings& settings) { server.reload(settings); }) {
@@ -43,31 +43,31 @@
   }
 }
 
-/// Reads the settings, runs `Server(loop, settings)` until it stops its loop, and gives the exit status. A
-/// server that can't be made is reported on standard error with status 1. On SIGHUP, and when the settings
-/// file is found changed, the settings are read again.
+/// Reads the settings, runs `Server(loop, settings)` until it stops its loop, and returns the exit status. If
+/// the server throws on construction, prints the error to standard error and returns 1. The settings are
+/// reloaded on SIGHUP and when the modification time of the settings file changes.
 template <typename Server, typename Settings>
 int run_server_program(int argc, const char** argv, const char* program, const char* description,
                        Settings (*read)(SettingsReader&)) {
-  constexpr Duration kFileCheck = 1s;
-  constexpr Duration kLogFlush = 1s;
+  constexpr Duration kSettingsCheckInterval = 1s;
+  constexpr Duration kLogFlushInterval = 1s;
   const CommandLine command_line = parse_command_line(argc, argv, program, description);
   const auto settings = load_program_settings<Settings>(command_line, read);
   try {
     EventLoop loop;
     Server server(loop, settings);
     loop.on_signal(SIGHUP, [&] { reload_settings(command_line, read, server); });
-    auto seen = modification_time(command_line.settings_file);
+    auto known_modification = modification_time(command_line.settings_file);
     if (!command_line.settings_file.empty()) {
-      loop.every(kFileCheck, [&] {
-        const auto present = modification_time(command_line.settings_file);
-        if (present != seen) {
-          seen = present;
+      loop.every(kSettingsCheckInterval, [&] {
+        const auto current_modification = modification_time(command_line.settings_file);
+        if (current_modification != known_modification) {
+          known_modification = current_modification;
           reload_settings(command_line, read, server);
         }
       });
     }
-    loop.every(kLogFlush, [] { flush_logs(); });
+    loop.every(kLogFlushInterval, [] { flush_logs(); });
     loop.run();
     flush_logs();
   } catch (const std::exception& error) {
--- a/src/common/settings.cc
+++ b/src/common/settings.cc
@@ -12,16 +12,16 @@
 
 namespace stoat {
 
-struct SettingsReader::Content {
+struct SettingsReader::State {
   std::string file;
   toml::table root;
   std::vector<toml::table> overrides;
-  std::set<std::string> known_keys;
+  std::set<std::string> requested_keys;
   Findings* findings = nullptr;
 
-  /// The node of a dotted key, looking at flags first.
+  /// Finds the node of a dotted key. Overrides are searched first, the last one given before earlier ones.
   const toml::node* find(const std::string& key, std::string& source_name) {
-    known_keys.insert(key);
+    requested_keys.insert(key);
     for (auto table = overrides.rbegin(); table != overrides.rend(); ++table) {
       if (const toml::node* node = table->at_path(key).node()) {
         source_name = "--set";
@@ -32,8 +32,9 @@
     return root.at_path(key).node();
   }
 
-  void add(const toml::node* node, const std::string& source_name, const std::string& key,
-           std::string message) {
+  /// Adds a finding at the position of `node`, which may be nullptr.
+  void add_at(const toml::node* node, const std::string& source_name, const std::string& key,
+              std::string message) {
     Finding finding{source_name.empty() ? "settings" : source_name, 0, 0, key, std::move(message)};
     if (node != nullptr) {
       finding.line = static_cast<int>(node->source().begin.line);
@@ -42,30 +43,30 @@
     findings->add(std::move(finding));
   }
 
-  void walk_unknown(const toml::table& table, const std::string& prefix, const std::string& source_name) {
+  void report_unknown(const toml::table& table, const std::string& prefix, const std::string& source_name) {
     for (const auto& [name, node] : table) {
       const std::string key = prefix + std::string(name.str());
-      if (known_keys.count(key) > 0) {
+      if (requested_keys.count(key) > 0) {
         continue;
       }
-      if (const toml::table* inner = node.as_table()) {
-        walk_unknown(*inner, key + ".", source_name);
+      if (const toml::table* subtable = node.as_table()) {
+        report_unknown(*subtable, key + ".", source_name);
       } else {
-        add(&node, source_name, key, "unknown key");
+        add_at(&node, source_name, key, "unknown key");
       }
     }
   }
 };
 
-SettingsReader::SettingsReader(std::unique_ptr<Content> content) : content_(std::move(content)) {}
+SettingsReader::SettingsReader(std::unique_ptr<State> state) : state_(std::move(state)) {}
 SettingsReader::~SettingsReader() = default;
 SettingsReader::SettingsReader(SettingsReader&&) noexcept = default;
 
 SettingsReader SettingsReader::load(const std::string& path, const std::vector<std::string>& overrides,
                                     Findings& findings) {
-  auto content = std::make_unique<Content>();
-  content->file = path;
-  content->findings = &findings;
+  auto state = std::make_unique<State>();
+  state->file = path;
+  state->findings = &findings;
   const auto report = [&findings](const std::string& source_name, const toml::parse_error& error) {
     const auto& begin = error.source().begin;
     findings.add({source_name, static_cast<int>(begin.line), static_cast<int>(begin.column), "",
@@ -90,23 +91,23 @@
     } else {
       std::ostringstream text;
       text << file.rdbuf();
-      content->root = parse(path, text.str());
+      state->root = parse(path, text.str());
     }
   }
   for (const std::string& assignment : overrides) {
-    content->overrides.push_back(parse("--set " + assignment, assignment));
+    state->overrides.push_back(parse("--set " + assignment, assignment));
   }
-  return SettingsReader(std::move(content));
+  return SettingsReader(std::move(state));
 }
 
 std::string SettingsReader::text(const std::string& key, const std::string& fallback) {
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
+  const toml::node* node = state_->find(key, source_name);
   if (node == nullptr) {
     return fallback;
   }
   if (!node->is_string()) {
-    content_->add(node, source_name, key, "must be text in quotes");
+    state_->add_at(node, source_name, key, "must be a quoted string");
     return fallback;
   }
   return node->value_or(fallback);
@@ -122,14 +123,14 @@
 
 int64_t SettingsReader::integer(const std::string& key, int64_t fallback, int64_t low, int64_t high) {
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
+  const toml::node* node = state_->find(key, source_name);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value_exact<int64_t>();
   if (!value.has_value() || *value < low || *value > high) {
-    content_->add(node, source_name, key,
-                  "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
+    state_->add_at(node, source_name, key,
+                   "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
     return fallback;
   }
   return *value;
@@ -137,14 +138,14 @@
 
 double SettingsReader::number(const std::string& key, double fallback, double low, double high) {
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
+  const toml::node* node = state_->find(key, source_name);
   if (node == nullptr) {
     return fallback;
   }
   const auto value = node->value<double>();
   if (!node->is_number() || *value < low || *value > high) {
-    content_->add(node, source_name, key,
-                  "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
+    state_->add_at(node, source_name, key,
+                   "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
     return fallback;
   }
   return *value;
@@ -152,12 +153,12 @@
 
 bool SettingsReader::flag(const std::string& key, bool fallback) {
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
+  const toml::node* node = state_->find(key, source_name);
   if (node == nullptr) {
     return fallback;
   }
   if (!node->is_boolean()) {
-    content_->add(node, source_name, key, "must be true or false");
+    state_->add_at(node, source_name, key, "must be true or false");
     return fallback;
   }
   return node->value_or(fallback);
@@ -166,18 +167,18 @@
 std::vector<std::string> SettingsReader::text_list(const std::string& key) {
   std::vector<std::string> values;
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
+  const toml::node* node = state_->find(key, source_name);
   if (node == nullptr) {
     return values;
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    content_->add(node, source_name, key, "must be a list of texts");
+    state_->add_at(node, source_name, key, "must be a list of strings");
     return values;
   }
   for (const toml::node& element : *array) {
     if (!element.is_string()) {
-      content_->add(&element, source_name, key, "must be text in quotes");
+      state_->add_at(&element, source_name, key, "must be a quoted string");
       continue;
     }
     values.push_back(element.value_or(std::string()));
@@ -186,16 +187,16 @@
 }
 
 void SettingsReader::report_unknown_keys() {
-  content_->walk_unknown(content_->root, "", content_->file);
-  for (const toml::table& table : content_->overrides) {
-    content_->walk_unknown(table, "", "--set");
+  state_->report_unknown(state_->root, "", state_->file);
+  for (const toml::table& table : state_->overrides) {
+    state_->report_unknown(table, "", "--set");
   }
 }
 
 void SettingsReader::add_finding(const std::string& key, const std::string& message) {
   std::string source_name;
-  const toml::node* node = content_->find(key, source_name);
-  content_->add(node, source_name, key, message);
+  const toml::node* node = state_->find(key, source_name);
+  state_->add_at(node, source_name, key, message);
 }
 
 std::string to_string(const Endpoint& endpoint) {
--- a/src/common/toml_text.cc
+++ b/src/common/toml_text.cc
@@ -8,18 +8,19 @@
 
 constexpr unsigned char kLastAscii = 0x7F;
 
-/// Walks through a text, telling strings and comments from the rest.
-class TextCheck {
+/// Scans a text and distinguishes strings and comments from the rest, the syntax.
+class TomlScanner {
  public:
-  explicit TextCheck(std::string_view text) : text_(text) {}
+  explicit TomlScanner(std::string_view text) : text_(text) {}
 
-  std::optional<TextFinding> run() {
+  std::optional<TomlTextError> run() {
     for (; position_ < text_.size(); advance()) {
-      const bool bare = quote_ == 0 && !in_comment_;
-      if (bare && static_cast<unsigned char>(text_[position_]) > kLastAscii) {
-        return finding("outside of quotes and comments only ASCII characters are allowed");
+      const bool in_syntax = open_quote_ == 0 && !in_comment_;
+      if (in_syntax && static_cast<unsigned char>(text_[position_]) > kLastAscii) {
+        return finding("only ASCII characters are allowed outside of strings and comments");
       }
-      if (bare && line_is_blank_ && depth_ == 0 && text_[position_] == '[' && !header_has_key()) {
+      if (in_syntax && line_blank_so_far_ && nesting_depth_ == 0 && text_[position_] == '[' &&
+          !header_has_key()) {
         return finding("a table's name must begin with a letter, a digit, '_', '-' or a quote");
       }
     }
@@ -27,7 +28,7 @@
   }
 
  private:
-  TextFinding finding(const char* message) const { return {line_, column_, message}; }
+  TomlTextError finding(const char* message) const { return {line_, column_, message}; }
 
   bool header_has_key() const {
     size_t next = position_ + 1;
@@ -36,7 +37,7 @@
       ++next;
     }
     if (next == text_.size()) {
-      return true;  // the parser reports a text that ends too soon
+      return true;  // the parser reports truncated input
     }
     const char first = text_[next];
     const bool is_key = std::isalnum(static_cast<unsigned char>(first)) != 0 || first == '_' || first == '-';
@@ -45,34 +46,34 @@
 
   void advance() {
     const char character = text_[position_++];
-    const bool bare = quote_ == 0 && !in_comment_;
+    const bool in_syntax = open_quote_ == 0 && !in_comment_;
     if (character == '\n') {
       in_comment_ = false;
-      line_is_blank_ = quote_ == 0;
+      line_blank_so_far_ = open_quote_ == 0;
       ++line_;
       column_ = 1;
       escaped_ = false;
       return;
     }
     ++column_;
-    if (bare) {
-      take_bare(character);
-    } else if (quote_ != 0 && character == quote_ && !escaped_) {
-      quote_ = 0;
+    if (in_syntax) {
+      scan_syntax(character);
+    } else if (open_quote_ != 0 && character == open_quote_ && !escaped_) {
+      open_quote_ = 0;
     }
-    escaped_ = quote_ == '"' && character == '\\' && !escaped_;
+    escaped_ = open_quote_ == '"' && character == '\\' && !escaped_;
   }
 
-  void take_bare(char character) {
-    line_is_blank_ = line_is_blank_ && (character == ' ' || character == '\t');
+  void scan_syntax(char character) {
+    line_blank_so_far_ = line_blank_so_far_ && (character == ' ' || character == '\t');
     if (character == '#') {
       in_comment_ = true;
     } else if (character == '"' || character == '\'') {
-      quote_ = character;
+      open_quote_ = character;
     } else if (character == '[' || character == '{') {
-      ++depth_;
-    } else if ((character == ']' || character == '}') && depth_ > 0) {
-      --depth_;
+      ++nesting_depth_;
+    } else if ((character == ']' || character == '}') && nesting_depth_ > 0) {
+      --nesting_depth_;
     }
   }
 
@@ -80,15 +81,15 @@
   size_t position_ = 0;
   int line_ = 1;
   int column_ = 1;
-  int depth_ = 0;   ///< of brackets and braces
-  char quote_ = 0;  ///< the one that opened the string that we are in
+  int nesting_depth_ = 0;  ///< of brackets and braces
+  char open_quote_ = 0;    ///< quote that opened the current string; 0 outside of strings
   bool in_comment_ = false;
   bool escaped_ = false;
-  bool line_is_blank_ = true;  ///< so far
+  bool line_blank_so_far_ = true;  ///< only spaces and tabs were seen on the current line
 };
 
 }  // namespace
 
-std::optional<TextFinding> check_toml_text(std::string_view text) { return TextCheck(text).run(); }
+std::optional<TomlTextError> check_toml_text(std::string_view text) { return TomlScanner(text).run(); }
 
 }  // namespace stoat
--- a/src/common/toml_text.h
+++ b/src/common/toml_text.h
@@ -1,5 +1,5 @@
-/// A look at TOML text before its parser gets it. The parser aborts the process, or behaves in an undefined
-/// way, on some malformed texts; these are found here.
+/// Check of TOML text before it is parsed. On some malformed texts the TOML parser aborts the process or has
+/// undefined behaviour; this check rejects them first.
 #pragma once
 
 #include <optional>
@@ -8,15 +8,15 @@
 
 namespace stoat {
 
-/// What is wrong with a text, and where, counted from 1.
-struct TextFinding {
+/// An error in a text and its position, counted from 1.
+struct TomlTextError {
   int line = 1;
   int column = 1;
   std::string message;
 };
 
-/// The first character beyond ASCII that stands outside of strings and comments, or the first table header
-/// that does not begin with a key. Nothing else is looked for.
-std::optional<TextFinding> check_toml_text(std::string_view text);
+/// Finds the first non-ASCII character outside of strings and comments, or the first table header that does
+/// not begin with a key. Other errors are left to the parser.
+std::optional<TomlTextError> check_toml_text(std::string_view text);
 
 }  // namespace stoat
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -1,4 +1,4 @@
-// Settings whose text the parser must not see.
+// Settings files, in particular texts on which the TOML parser would crash and that must not reach it.
 #include "src/common/settings.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace stoat {
 namespace {
 
-TEST(SettingsTest, ACharacterBeyondAsciiOutsideOfQuotesIsAFindingWithItsPlace) {
+TEST(SettingsTest, ANonAsciiCharacterOutsideQuotesIsReportedWithItsPosition) {
   Findings findings;
   SettingsReader::load("", {"\xc7\x8a\n"}, findings);
   ASSERT_EQ(findings.list().size(), 1U);
@@ -17,21 +17,21 @@
   EXPECT_NE(findings.to_text().find("only ASCII"), std::string::npos) << findings.to_text();
 }
 
-TEST(SettingsTest, CharactersBeyondAsciiAreAllowedInStringsAndComments) {
+TEST(SettingsTest, NonAsciiCharactersAreAllowedInStringsAndComments) {
   Findings findings;
   SettingsReader reader = SettingsReader::load("", {"name = \"\\\"h\xc3\xa4ll\"  # f\xc3\xbcr"}, findings);
   EXPECT_TRUE(findings.empty()) << findings.to_text();
   EXPECT_EQ(reader.text("name", ""), "\"h\xc3\xa4ll");
 }
 
-TEST(SettingsTest, ThePlaceIsCountedInLinesAndColumns) {
-  const auto place = check_toml_text("a = 'x'\nb\xc3\xa4 = 1");
-  ASSERT_TRUE(place.has_value());
-  EXPECT_EQ(place->line, 2);
-  EXPECT_EQ(place->column, 2);
+TEST(SettingsTest, ThePositionIsGivenAsLineAndColumn) {
+  const auto position = check_toml_text("a = 'x'\nb\xc3\xa4 = 1");
+  ASSERT_TRUE(position.has_value());
+  EXPECT_EQ(position->line, 2);
+  EXPECT_EQ(position->column, 2);
 }
 
-TEST(SettingsTest, ATableWithoutANameIsAFindingWithItsPlace) {
+TEST(SettingsTest, ATableWithoutANameIsReported) {
   for (const char* text : {"[)", "a = 1\n[[ .b]]", "[=]"}) {
     Findings findings;
     SettingsReader::load("", {text}, findings);
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(SettingsTest, TablesAndNestedArraysPass) {
+TEST(SettingsTest, TablesAndNestedArraysAreAccepted) {
   const std::string text = "a = [\n  [1, 2],\n  [{b = 1}],\n]\n[table.'one']\nx = '['\n[[more]]\n[ \"q\" ]\n";
   EXPECT_FALSE(check_toml_text(text).has_value()) << check_toml_text(text)->message;
   Findings findings;
@@ -47,7 +47,7 @@
   EXPECT_TRUE(findings.empty()) << findings.to_text();
 }
 
-TEST(SettingsTest, AFileThatCanNotBeReadIsAFinding) {
+TEST(SettingsTest, AnUnreadableFileIsReported) {
   Findings findings;
   SettingsReader::load("/nowhere/settings.toml", {}, findings);
   EXPECT_FALSE(findings.empty());
