--- a/src/ctl/admin_connection.cc
+++ b/src/ctl/admin_connection.cc
@@ -6,35 +6,36 @@
 
 namespace {
 
-/// Members answer within 2.5 s, also when they can't reach the leader (kCallLimit of fleet_calls.cc).
-constexpr Duration kAnswerTimeout = 3s;
-constexpr Duration kRetryPause = 100ms;
+/// Must exceed 2.5 s: members answer within that time even if they can't reach the leader (kCallLimit of
+/// fleet_calls.cc).
+constexpr Duration kCallTimeout = 3s;
+constexpr Duration kRetryInterval = 100ms;
 constexpr int kUnavailable = 503;
 
 }  // namespace
 
-http::ClientResult AdminConnection::ask(const Endpoint& member, const std::string& method,
-                                        const std::string& path, const std::string& body) {
+http::ClientResult AdminConnection::call_member(const Endpoint& member, const std::string& method,
+                                                const std::string& path, const std::string& body) {
   http::ClientRequest request;
   request.endpoint = member;
   request.method = method;
   request.path = path;
   request.body = body;
-  request.timeout = kAnswerTimeout;
+  request.timeout = kCallTimeout;
   return http::fetch(request);
 }
 
 http::ClientResult AdminConnection::call(const std::string& method, const std::string& path,
                                          const std::string& body) {
-  const TimePoint give_up_at = monotonic_now() + limit_;
+  const TimePoint deadline = monotonic_now() + retry_limit_;
   for (;;) {
-    http::ClientResult result = ask(members_[next_member_ % members_.size()], method, path, body);
-    const bool worth_repeating = result.status == 0 || result.status == kUnavailable;
-    if (!worth_repeating || monotonic_now() >= give_up_at) {
+    http::ClientResult result = call_member(members_[next_member_ % members_.size()], method, path, body);
+    const bool retryable = result.status == 0 || result.status == kUnavailable;
+    if (!retryable || monotonic_now() >= deadline) {
       return result;
     }
     ++next_member_;
-    std::this_thread::sleep_for(kRetryPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -22,7 +22,7 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 
-/// Carries out one command.
+/// Executes one command.
 class Command {
  public:
   explicit Command(const CtlOptions& options)
@@ -31,17 +31,17 @@
   ExitStatus status();
   ExitStatus get_configuration();
   ExitStatus put_configuration();
-  ExitStatus name_weights();
+  ExitStatus set_weights();
   ExitStatus start_rollout();
-  ExitStatus show_rollout();
+  ExitStatus rollout_status();
   ExitStatus remove_backend();
   ExitStatus explain_request();
 
  private:
   const std::string& argument(size_t position) const { return options_.arguments.at(position); }
-  static ExitStatus bad_input(const std::string& message);
-  /// Tells how a call ended, with `done` when it did well.
-  static ExitStatus report(const http::ClientResult& result, const std::string& done);
+  static ExitStatus report_bad_input(const std::string& message);
+  /// Prints the result of a call; `success_message` if the call succeeded.
+  static ExitStatus report_result(const http::ClientResult& result, const std::string& success_message);
 
   const CtlOptions& options_;
   AdminConnection connection_;
@@ -49,14 +49,14 @@
   control::BodyNames names_;
 };
 
-ExitStatus Command::bad_input(const std::string& message) {
+ExitStatus Command::report_bad_input(const std::string& message) {
   std::cerr << "stoatctl: " << message << "\n";
   return ExitStatus::kBadInput;
 }
 
-ExitStatus Command::report(const http::ClientResult& result, const std::string& done) {
+ExitStatus Command::report_result(const http::ClientResult& result, const std::string& success_message) {
   if (result.status == kOk) {
-    std::cout << done;
+    std::cout << success_message;
     return ExitStatus::kDone;
   }
   if (result.status == 0 || result.status == kUnavailable) {
@@ -72,54 +72,54 @@
   json routers = json::array();
   json backends = json::array();
   for (const Endpoint& member : connection_.members()) {
-    const http::ClientResult answer = AdminConnection::ask(member, "GET", paths_.status);
-    const json page = json::parse(answer.body, nullptr, false);
-    const bool answers = answer.status == kOk && page.is_object();
+    const http::ClientResult answer = AdminConnection::call_member(member, "GET", paths_.status);
+    const json status_body = json::parse(answer.body, nullptr, false);
+    const bool answers = answer.status == kOk && status_body.is_object();
     members.push_back({{"address", to_string(member)},
                        {"answers", answers},
-                       {"leads", answers ? page["leads"] : json()},
-                       {"voters", answers ? page["voters"] : json()},
-                       {"configuration", answers ? page["configuration"] : json()}});
-    if (answers && (routers.empty() || page["leads"] == true)) {
-      routers = page["routers"];
-      backends = page["backends"];
+                       {"leads", answers ? status_body["leads"] : json()},
+                       {"voters", answers ? status_body["voters"] : json()},
+                       {"configuration", answers ? status_body["configuration"] : json()}});
+    if (answers && (routers.empty() || status_body["leads"] == true)) {
+      routers = status_body["routers"];
+      backends = status_body["backends"];
     }
   }
   if (options_.json) {
     std::cout << json{{"control", members}, {"routers", routers}, {"backends", backends}}.dump(2) << "\n";
   } else {
-    std::cout << text_table(members) << "\n" << text_table(routers) << "\n" << text_table(backends);
+    std::cout << format_table(members) << "\n" << format_table(routers) << "\n" << format_table(backends);
   }
-  const bool any = std::any_of(members.begin(), members.end(),
-                               [](const json& member) { return member["answers"] == true; });
-  return any ? ExitStatus::kDone : ExitStatus::kUnreachable;
+  const bool any_answers = std::any_of(members.begin(), members.end(),
+                                       [](const json& member) { return member["answers"] == true; });
+  return any_answers ? ExitStatus::kDone : ExitStatus::kUnreachable;
 }
 
 ExitStatus Command::get_configuration() {
   const http::ClientResult result = connection_.call("GET", paths_.configuration);
-  return report(result, result.body);
+  return report_result(result, result.body);
 }
 
 ExitStatus Command::put_configuration() {
   std::ifstream file(argument(2));
   if (!file) {
-    return bad_input(argument(2) + " can't be read");
+    return report_bad_input(argument(2) + " can't be read");
   }
   std::ostringstream document;
   document << file.rdbuf();
-  return report(connection_.call("PUT", paths_.configuration, document.str()),
-                "the configuration is durable\n");
+  return report_result(connection_.call("PUT", paths_.configuration, document.str()),
+                       "the configuration is durable\n");
 }
 
-ExitStatus Command::name_weights() {
+ExitStatus Command::set_weights() {
   const std::string& text = argument(2);
   uint64_t version = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), version);
   if (error != std::errc() || end != text.data() + text.size() || version == 0) {
-    return bad_input("'" + text + "' is no version: a whole number above 0");
+    return report_bad_input("'" + text + "' is no version: a whole number above 0");
   }
   const json body = {{"model", argument(1)}, {"version", version}};
-  return report(connection_.call("POST", paths_.weights, body.dump()), "the version is named\n");
+  return report_result(connection_.call("POST", paths_.weights, body.dump()), "the version is named\n");
 }
 
 ExitStatus Command::start_rollout() {
@@ -127,20 +127,21 @@
   double seconds = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seconds);
   if (error != std::errc() || end != text.data() + text.size() || !(seconds > 0)) {
-    return bad_input("'" + text + "' is no duration: seconds above 0");
+    return report_bad_input("'" + text + "' is no duration: seconds above 0");
   }
   const json body = {
       {"service", argument(2)}, {names_.rollout_target, argument(3)}, {names_.rollout_seconds, seconds}};
-  return report(connection_.call("POST", paths_.rollouts, body.dump()), "the order is durable\n");
+  return report_result(connection_.call("POST", paths_.rollouts, body.dump()), "the order is durable\n");
 }
 
-ExitStatus Command::show_rollout() {
+ExitStatus Command::rollout_status() {
   const http::ClientResult result = connection_.call("GET", paths_.rollouts + "/" + argument(2));
-  return report(result, result.body + "\n");
+  return report_result(result, result.body + "\n");
 }
 
 ExitStatus Command::remove_backend() {
-  return report(connection_.call("DELETE", paths_.backends + argument(2)), "the back end is retired\n");
+  return report_result(connection_.call("DELETE", paths_.backends + argument(2)),
+                       "the back end is retired\n");
 }
 
 ExitStatus Command::explain_request() {
@@ -149,14 +150,14 @@
                                                                      : ExitStatus::kRefused;
 }
 
-/// One command of the command line.
+/// One entry of the command table.
 struct CommandEntry {
-  const char* words;
-  const char* arguments;
+  const char* name;       ///< one or two words
+  const char* arguments;  ///< names of the arguments, for the usage text
   size_t argument_count;
   const char* help;
   std::function<ExitStatus(Command&)> run;
-  bool more_arguments = false;  ///< takes any number beyond argument_count
+  bool variadic = false;  ///< accepts more than argument_count arguments
 };
 
 const std::vector<CommandEntry>& all_commands() {
@@ -166,12 +167,12 @@
        &Command::get_configuration},
       {"configuration put", "FILE", 1, "put a configuration in force", &Command::put_configuration},
       {"weights", "MODEL VERSION", 2, "name the version of a model's weights that engines are to have",
-       &Command::name_weights},
+       &Command::set_weights},
       {"rollout start", "SERVICE VERSION SECONDS", 3,
        "move a service's traffic to a version of its program, judged by its answers",
        &Command::start_rollout},
       {"rollout status", "SERVICE", 1, "tell how the last rollout of a service stands",
-       &Command::show_rollout},
+       &Command::rollout_status},
       {"backend remove", "ID", 1, "retire a back end for good", &Command::remove_backend},
       {"explain", "REQUEST_ID FILE...", 2,
        "tell from logs what happened to a request, without any connection", &Command::explain_request, true},
@@ -179,11 +180,11 @@
   return commands;
 }
 
-/// How many words of a command the arguments begin with; 0 when they don't name it.
+/// Number of words in the command's name if the arguments begin with that name; 0 otherwise.
 size_t matching_words(const CommandEntry& entry, const std::vector<std::string>& arguments) {
-  std::istringstream words(entry.words);
+  std::istringstream name_words(entry.name);
   size_t count = 0;
-  for (std::string word; words >> word; ++count) {
+  for (std::string word; name_words >> word; ++count) {
     if (count >= arguments.size() || arguments[count] != word) {
       return 0;
     }
@@ -196,7 +197,7 @@
 std::string command_help() {
   std::ostringstream text;
   for (const CommandEntry& entry : all_commands()) {
-    std::string usage = std::string("  ") + entry.words + " " + entry.arguments;
+    std::string usage = std::string("  ") + entry.name + " " + entry.arguments;
     usage.resize(std::max<size_t>(usage.size(), 32), ' ');
     text << usage << entry.help << "\n";
   }
@@ -205,13 +206,13 @@
 
 ExitStatus run_command(const CtlOptions& options) {
   for (const CommandEntry& entry : all_commands()) {
-    const size_t words = matching_words(entry, options.arguments);
-    if (words == 0) {
+    const size_t name_length = matching_words(entry, options.arguments);
+    if (name_length == 0) {
       continue;
     }
-    const size_t given = options.arguments.size() - words;
-    if (given < entry.argument_count || (given > entry.argument_count && !entry.more_arguments)) {
-      std::cerr << "stoatctl: usage: stoatctl " << entry.words << " " << entry.arguments << "\n";
+    const size_t given_count = options.arguments.size() - name_length;
+    if (given_count < entry.argument_count || (given_count > entry.argument_count && !entry.variadic)) {
+      std::cerr << "stoatctl: usage: stoatctl " << entry.name << " " << entry.arguments << "\n";
       return ExitStatus::kBadInput;
     }
     Command command(options);
--- a/src/ctl/ctl_main.cc
+++ b/src/ctl/ctl_main.cc
@@ -1,4 +1,4 @@
-/// stoatctl: what operators do from a command line.
+/// stoatctl: the command line tool for operators.
 #include <popt.h>
 
 #include <cstdlib>
@@ -12,16 +12,17 @@
 
 using stoat::ctl::CtlOptions;
 
-std::string text_or(const char* value, const std::string& fallback) {
+std::string value_or_default(const char* value, const std::string& fallback) {
   return value == nullptr ? fallback : value;
 }
 
-std::string environment(const char* name) {
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
 
-bool read_members(const std::string& list, CtlOptions& options) {
+/// Parses a comma-separated list of "address:port"; prints an error and returns false if one is malformed.
+bool parse_members(const std::string& list, CtlOptions& options) {
   std::istringstream stream(list);
   for (std::string member; std::getline(stream, member, ',');) {
     stoat::Endpoint endpoint;
@@ -67,8 +68,8 @@
   }
   options.json = json != 0;
   options.timeout = std::chrono::seconds(timeout_s);
-  const std::string members = text_or(control, environment("STOAT_CONTROL"));
-  if (!read_members(members.empty() ? "127.0.0.1:7001" : members, options)) {
+  const std::string members = value_or_default(control, environment_variable("STOAT_CONTROL"));
+  if (!parse_members(members.empty() ? "127.0.0.1:7001" : members, options)) {
     return stoat::kExitBadInput;
   }
   const auto status = stoat::ctl::run_command(options);
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-using Words = std::function<std::string(const LogLine&)>;
+using LineDescriber = std::function<std::string(const LogLine&)>;
 
-std::string waits_in_words(const LogLine& line) {
+std::string describe_wait(const LogLine& line) {
   const std::string limited = line.field("limited");
   const bool any_limited = !limited.empty() && limited != "0";
   return "waits: of " + line.field("known") + " back ends, " + line.field("tried") + " had it already and " +
@@ -23,7 +23,7 @@
          "the others are not usable";
 }
 
-std::string sent_in_words(const LogLine& line) {
+std::string describe_send(const LogLine& line) {
   std::string text = "sent to " + line.field("backend") + ", one of " + line.field("candidates") +
                      " that could take it, which had " + line.field("outstanding") + " requests and " +
                      line.field("queued_tokens") + " prompt tokens to read";
@@ -36,19 +36,19 @@
   return text;
 }
 
-std::string not_run_in_words(const LogLine& line) {
+std::string describe_not_run(const LogLine& line) {
   return line.field("status") == "0"
              ? "no connection to " + line.field("backend")
              : line.field("backend") + " said with " + line.field("status") + " that it did not run it";
 }
 
-std::string failed_in_words(const LogLine& line) {
+std::string describe_failure(const LogLine& line) {
   std::string text = "the exchange with " + line.field("backend") + " failed: " + line.field("failure");
   text += line.field("streaming") == "true" ? ", in the middle of the stream" : ", before any answer";
   return text + (line.field("ejected") == "true" ? "; it gets no requests for a while" : "");
 }
 
-std::string ended_in_words(const LogLine& line) {
+std::string describe_end(const LogLine& line) {
   const std::string status = line.field("status");
   std::string text = "ended after " + line.field("ms") + " ms: " + line.field("outcome") + ", ";
   text += status == "0" ? "the connection was closed" : "status " + status;
@@ -59,18 +59,18 @@
   return text + (line.field("late") == "true" ? "; beyond the route's objective" : "");
 }
 
-const std::map<std::string, Words>& phrases() {
-  static const std::map<std::string, Words> phrase_of = {
+const std::map<std::string, LineDescriber>& describers() {
+  static const std::map<std::string, LineDescriber> describer_of = {
       {events::RequestAccepted::kSentence,
        [](const LogLine& line) {
          return "came in on route " + line.field("route") + " for service " + line.field("service") +
                 " under configuration " + line.field("version") + ", with " + line.field("time_left_ms") +
                 " ms";
        }},
-      {events::RequestWaits::kSentence, waits_in_words},
-      {events::RequestSent::kSentence, sent_in_words},
-      {events::RequestNotRun::kSentence, not_run_in_words},
-      {events::ExchangeFailed::kSentence, failed_in_words},
+      {events::RequestWaits::kSentence, describe_wait},
+      {events::RequestSent::kSentence, describe_send},
+      {events::RequestNotRun::kSentence, describe_not_run},
+      {events::ExchangeFailed::kSentence, describe_failure},
       {events::RequestHeldBack::kSentence,
        [](const LogLine& line) {
          return "not sent: " + line.field("crashes") +
@@ -84,7 +84,7 @@
          return "did not go on from the copy of its run at " + line.field("backend") + ": " +
                 line.field("reason");
        }},
-      {events::RequestEnded::kSentence, ended_in_words},
+      {events::RequestEnded::kSentence, describe_end},
       {events::RequestTurnedAway::kSentence,
        [](const LogLine& line) {
          return "turned away with " + line.field("status") + ": " + line.field("reason") +
@@ -92,97 +92,97 @@
                 " ms)";
        }},
   };
-  return phrase_of;
+  return describer_of;
 }
 
 bool is_fleet_event(const LogLine& line) {
-  static const std::vector<std::string> sentences = {events::ConfigurationInForce::kSentence,
-                                                     events::WeightsNamed::kSentence,
-                                                     events::BackendChanged::kSentence,
-                                                     events::BackendLimitChanged::kSentence,
-                                                     events::BackendCrashed::kSentence,
-                                                     events::RequestStandingChanged::kSentence,
-                                                     events::KeyLeaseChanged::kSentence,
-                                                     events::ControlMemberChanged::kSentence,
-                                                     events::LeaderChanged::kSentence,
-                                                     events::StoreChanged::kSentence,
-                                                     events::CacheFollowed::kSentence,
-                                                     events::RouterChanged::kSentence,
-                                                     events::MembersChanged::kSentence,
-                                                     "started",
-                                                     "stopping",
-                                                     "stopped",
-                                                     "leads",
-                                                     "leads no more"};
-  return std::find(sentences.begin(), sentences.end(), line.sentence) != sentences.end();
+  static const std::vector<std::string> fleet_events = {events::ConfigurationInForce::kSentence,
+                                                        events::WeightsNamed::kSentence,
+                                                        events::BackendChanged::kSentence,
+                                                        events::BackendLimitChanged::kSentence,
+                                                        events::BackendCrashed::kSentence,
+                                                        events::RequestStandingChanged::kSentence,
+                                                        events::KeyLeaseChanged::kSentence,
+                                                        events::ControlMemberChanged::kSentence,
+                                                        events::LeaderChanged::kSentence,
+                                                        events::StoreChanged::kSentence,
+                                                        events::CacheFollowed::kSentence,
+                                                        events::RouterChanged::kSentence,
+                                                        events::MembersChanged::kSentence,
+                                                        "started",
+                                                        "stopping",
+                                                        "stopped",
+                                                        "leads",
+                                                        "leads no more"};
+  return std::find(fleet_events.begin(), fleet_events.end(), line.sentence) != fleet_events.end();
 }
 
-void sort_by_time(std::vector<PlacedLine>& lines) {
-  std::stable_sort(lines.begin(), lines.end(), [](const PlacedLine& left, const PlacedLine& right) {
+void sort_by_time(std::vector<LocatedLine>& lines) {
+  std::stable_sort(lines.begin(), lines.end(), [](const LocatedLine& left, const LocatedLine& right) {
     return left.line.time < right.line.time;
   });
 }
 
-/// False for a change of a back end that the request's lines don't name.
-bool concerns(const PlacedLine& entry, const std::vector<PlacedLine>& request) {
+/// False for an event of a backend that no line of the request names.
+bool is_relevant(const LocatedLine& entry, const std::vector<LocatedLine>& request_lines) {
   const std::string backend = entry.line.field("backend");
-  return backend.empty() || std::any_of(request.begin(), request.end(), [&](const PlacedLine& line) {
-           return line.line.field("backend") == backend;
-         });
+  return backend.empty() ||
+         std::any_of(request_lines.begin(), request_lines.end(),
+                     [&](const LocatedLine& other) { return other.line.field("backend") == backend; });
 }
 
-/// The end and all that led to it, in one sentence.
-std::string conclude(const std::vector<PlacedLine>& request) {
-  if (request.empty()) {
+/// Summarizes the outcome of the request and its causes.
+std::string summarize(const std::vector<LocatedLine>& request_lines) {
+  if (request_lines.empty()) {
     return "No line names it: it ended well and was not in the sample, it left no room in a busy second, or "
            "it "
            "never came in.";
   }
-  const LogLine& last = request.back().line;
+  const LogLine& last = request_lines.back().line;
   if (last.sentence == events::RequestTurnedAway::kSentence) {
-    return "It was " + in_words(last) + ".";
+    return "It was " + describe(last) + ".";
   }
   if (last.sentence != events::RequestEnded::kSentence) {
-    return "Its end is not in these logs; the last that is known: " + in_words(last) + ".";
+    return "Its end is not in these logs; the last that is known: " + describe(last) + ".";
   }
   std::string reason;
-  for (const PlacedLine& entry : request) {
+  for (const LocatedLine& entry : request_lines) {
     if (entry.line.sentence != events::RequestEnded::kSentence &&
         entry.line.sentence != events::RequestAccepted::kSentence &&
         entry.line.sentence != events::RequestSent::kSentence) {
-      reason += (reason.empty() ? "" : "; ") + in_words(entry.line);
+      reason += (reason.empty() ? "" : "; ") + describe(entry.line);
     }
   }
-  return "It " + in_words(last) + (reason.empty() ? "." : ", because: " + reason + ".");
+  return "It " + describe(last) + (reason.empty() ? "." : ", because: " + reason + ".");
 }
 
 }  // namespace
 
-void read_log(std::istream& input, const std::string& file, std::vector<PlacedLine>& lines,
+void read_log(std::istream& input, const std::string& file, std::vector<LocatedLine>& lines,
               Findings& findings) {
-  size_t number = 0;
+  size_t line_number = 0;
   for (std::string text; std::getline(input, text);) {
-    ++number;
+    ++line_number;
     if (text.empty()) {
       continue;
     }
     auto line = parse_log_line(text);
     if (line) {
-      lines.push_back({file, number, std::move(*line)});
+      lines.push_back({file, line_number, std::move(*line)});
       continue;
     }
     Finding finding;
     finding.file = file;
-    finding.line = static_cast<int>(number);
+    finding.line = static_cast<int>(line_number);
     finding.message = line.error();
     findings.add(finding);
   }
 }
 
-std::string in_words(const LogLine& line) {
-  const auto phrase = phrases().find(line.sentence);
-  if (phrase != phrases().end()) {
-    return phrase->second(line);
+std::string describe(const LogLine& line) {
+  const auto describer = describers().find(line.sentence);
+  if (describer != describers().end()) {
+    return describer->second(line);
   }
   std::string text = line.sentence;
   for (const LogField& field : line.fields) {
@@ -193,36 +193,36 @@
   return text;
 }
 
-Explanation explain(const std::string& request, const std::vector<PlacedLine>& lines) {
+Explanation explain(const std::string& request_id, const std::vector<LocatedLine>& lines) {
   Explanation result;
-  for (const PlacedLine& entry : lines) {
-    if (entry.line.field("request") == request) {
-      result.request.push_back(entry);
+  for (const LocatedLine& entry : lines) {
+    if (entry.line.field("request") == request_id) {
+      result.request_lines.push_back(entry);
     }
   }
-  sort_by_time(result.request);
-  result.conclusion = conclude(result.request);
-  if (result.request.empty()) {
+  sort_by_time(result.request_lines);
+  result.summary = summarize(result.request_lines);
+  if (result.request_lines.empty()) {
     return result;
   }
-  constexpr std::chrono::milliseconds kBefore{2000};
-  const LogTime begin = result.request.front().line.time - kBefore;
-  const LogTime end = result.request.back().line.time;
-  for (const PlacedLine& entry : lines) {
+  constexpr std::chrono::milliseconds kContextBefore{2000};
+  const LogTime begin = result.request_lines.front().line.time - kContextBefore;
+  const LogTime end = result.request_lines.back().line.time;
+  for (const LocatedLine& entry : lines) {
     const bool during = entry.line.time >= begin && entry.line.time <= end;
-    const bool same_process = std::any_of(result.request.begin(), result.request.end(),
-                                          [&](const PlacedLine& line) { return line.file == entry.file; });
-    if (during && same_process && is_fleet_event(entry.line) && concerns(entry, result.request)) {
-      result.around.push_back(entry);
+    const bool same_process = std::any_of(result.request_lines.begin(), result.request_lines.end(),
+                                          [&](const LocatedLine& other) { return other.file == entry.file; });
+    if (during && same_process && is_fleet_event(entry.line) && is_relevant(entry, result.request_lines)) {
+      result.related_events.push_back(entry);
     }
   }
-  sort_by_time(result.around);
+  sort_by_time(result.related_events);
   return result;
 }
 
-bool print_explanation(const std::string& request, const std::vector<std::string>& files,
+bool print_explanation(const std::string& request_id, const std::vector<std::string>& files,
                        std::ostream& output, std::ostream& errors) {
-  std::vector<PlacedLine> lines;
+  std::vector<LocatedLine> lines;
   Findings findings;
   for (const std::string& file : files) {
     std::ifstream input(file);
@@ -236,18 +236,19 @@
     read_log(input, file, lines, findings);
   }
   errors << findings.to_text();
-  const Explanation explanation = explain(request, lines);
-  std::vector<PlacedLine> all = explanation.request;
-  all.insert(all.end(), explanation.around.begin(), explanation.around.end());
+  const Explanation explanation = explain(request_id, lines);
+  std::vector<LocatedLine> all = explanation.request_lines;
+  all.insert(all.end(), explanation.related_events.begin(), explanation.related_events.end());
   sort_by_time(all);
-  for (const PlacedLine& entry : all) {
-    const auto offset = entry.line.time - explanation.request.front().line.time;
-    const bool own = !entry.line.field("request").empty();
-    output << (own ? "" : "  ") << (offset.count() < 0 ? "" : "+") << offset.count() << " ms  " << entry.file
-           << ":" << entry.number << "  " << (own ? "" : "meanwhile: ") << in_words(entry.line) << "\n";
+  for (const LocatedLine& entry : all) {
+    const auto offset = entry.line.time - explanation.request_lines.front().line.time;
+    const bool names_request = !entry.line.field("request").empty();
+    output << (names_request ? "" : "  ") << (offset.count() < 0 ? "" : "+") << offset.count() << " ms  "
+           << entry.file << ":" << entry.line_number << "  " << (names_request ? "" : "meanwhile: ")
+           << describe(entry.line) << "\n";
   }
-  output << explanation.conclusion << "\n";
-  return !explanation.request.empty();
+  output << explanation.summary << "\n";
+  return !explanation.request_lines.empty();
 }
 
 }  // namespace stoat::ctl
--- a/src/ctl/explain.h
+++ b/src/ctl/explain.h
@@ -1,4 +1,5 @@
-/// stoatctl explain: what happened to one request, from the logs of the processes that saw it.
+/// stoatctl explain: reconstructs what happened to one request from the logs of the processes that handled
+/// it.
 #pragma once
 
 #include <iosfwd>
@@ -10,32 +11,34 @@
 
 namespace stoat::ctl {
 
-/// A line of a log and where it stands.
-struct PlacedLine {
+/// A log line and its position.
+struct LocatedLine {
   std::string file;
-  size_t number = 0;  ///< from 1
+  size_t line_number = 0;  ///< counted from 1
   LogLine line;
 };
 
-/// What the logs tell of one request.
+/// What the logs contain about one request.
 struct Explanation {
-  std::vector<PlacedLine> request;  ///< lines that name it, in order of time
-  std::vector<PlacedLine> around;   ///< changes of the fleet's view while it was under way
-  std::string conclusion;           ///< one sentence
+  std::vector<LocatedLine> request_lines;  ///< log lines of the request, ordered by time
+  /// Fleet events from 2 s before the first line of the request until its last line, ordered by time.
+  std::vector<LocatedLine> related_events;
+  std::string summary;  ///< outcome of the request and its causes
 };
 
-/// Takes the lines of a log. Lines that are no log lines become findings with their place.
-void read_log(std::istream& input, const std::string& file, std::vector<PlacedLine>& lines,
+/// Appends the lines of a log to `lines`. Malformed lines become findings with their position.
+void read_log(std::istream& input, const std::string& file, std::vector<LocatedLine>& lines,
               Findings& findings);
 
-/// Puts the story of a request together from the lines of all processes.
-Explanation explain(const std::string& request, const std::vector<PlacedLine>& lines);
+/// Builds the explanation of a request from the log lines of all processes.
+Explanation explain(const std::string& request_id, const std::vector<LocatedLine>& lines);
 
-/// One line in plain words.
-std::string in_words(const LogLine& line);
+/// Describes a log line as a phrase. A line of an unknown kind is described by its message and fields.
+std::string describe(const LogLine& line);
 
-/// Reads the files and prints the explanation; findings go to `errors`. False when no line names the request.
-bool print_explanation(const std::string& request, const std::vector<std::string>& files,
+/// Reads the log files and prints the explanation to `output` and findings to `errors`. Returns false if no
+/// line names the request.
+bool print_explanation(const std::string& request_id, const std::vector<std::string>& files,
                        std::ostream& output, std::ostream& errors);
 
 }  // namespace stoat::ctl
--- a/src/ctl/text_table.cc
+++ b/src/ctl/text_table.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string text_table(const json& rows) {
+std::string format_table(const json& rows) {
   if (!rows.is_array() || rows.empty()) {
     return "none\n";
   }
--- a/src/ctl/text_table.h
+++ b/src/ctl/text_table.h
@@ -1,4 +1,4 @@
-/// A JSON list of flat objects as a text table for people.
+/// Formatting of a JSON list of flat objects as a human-readable table.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,7 +6,7 @@
 
 namespace stoat::ctl {
 
-/// One line for the keys, one for each object. "none" when the list is empty.
-std::string text_table(const nlohmann::json& rows);
+/// One header line with the keys of the first object, then one line per object; "none" if the list is empty.
+std::string format_table(const nlohmann::json& rows);
 
 }  // namespace stoat::ctl
