--- a/src/http/blocking.cc
+++ b/src/http/blocking.cc
@@ -4,16 +4,16 @@
 
 ClientResult fetch(const ClientRequest& request) {
   EventLoop loop;
-  ClientResult kept;
+  ClientResult final_result;
   {
     Client client(loop);
     client.start(request, nullptr, [&](const ClientResult& result) {
-      kept = result;
+      final_result = result;
       loop.stop();
     });
     loop.run();
   }
-  return kept;
+  return final_result;
 }
 
 }  // namespace stoat::http
--- a/src/http/blocking.h
+++ b/src/http/blocking.h
@@ -1,11 +1,11 @@
-/// One HTTP request made and waited for, for command-line tools and tests.
+/// Blocking HTTP requests, for command line tools and tests.
 #pragma once
 
 #include "src/http/client.h"
 
 namespace stoat::http {
 
-/// Sends the request on a loop of its own and waits for the result.
+/// Sends the request on a separate event loop and blocks until the result is known.
 ClientResult fetch(const ClientRequest& request);
 
 }  // namespace stoat::http
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -13,7 +13,7 @@
 
 constexpr size_t kMaxIdlePerEndpoint = 64;
 
-evhttp_cmd_type command_of(const std::string& method) {
+evhttp_cmd_type evhttp_method(const std::string& method) {
   if (method == "POST") {
     return EVHTTP_REQ_POST;
   }
@@ -23,7 +23,7 @@
   return method == "DELETE" ? EVHTTP_REQ_DELETE : EVHTTP_REQ_GET;
 }
 
-std::string take_all(evbuffer* buffer) {
+std::string drain_buffer(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   evbuffer_remove(buffer, bytes.data(), bytes.size());
   return bytes;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/// State of one request under way.
+/// State of one request in flight.
 class Call {
  public:
   Call(Client& owner, uint64_t call_id, PieceHandler piece_handler, DoneHandler done_handler)
@@ -40,17 +40,18 @@
   void complete(evhttp_request* finished) {
     ClientResult result;
     bool reusable = false;
-    if (finished != nullptr && evhttp_request_get_response_code(finished) != 0 && !broken) {
+    if (finished != nullptr && evhttp_request_get_response_code(finished) != 0 && !failed) {
       result.status = evhttp_request_get_response_code(finished);
-      result.body = error_body + take_all(evhttp_request_get_input_buffer(finished));
+      result.body = error_body + drain_buffer(evhttp_request_get_input_buffer(finished));
       for (const evkeyval* pair = evhttp_request_get_input_headers(finished)->tqh_first; pair != nullptr;
            pair = pair->next.tqe_next) {
         result.headers.push_back({pair->key, pair->value});
       }
       reusable = true;
     } else {
-      // A connection that could not be made ends here without the error callback of an established one.
-      result.not_sent = finished != nullptr && !broken && !any_piece;
+      // If the connection could not be established, evhttp completes the request without calling the error
+      // callback, which it calls only on established connections.
+      result.not_sent = finished != nullptr && !failed && !received_piece;
     }
     const DoneHandler handler = std::move(on_done);
     client.finish(id, reusable);
@@ -64,9 +65,9 @@
   Endpoint endpoint;
   evhttp_connection* connection = nullptr;
   evhttp_request* request = nullptr;
-  bool broken = false;
-  bool any_piece = false;
-  std::string error_body;  ///< of an answer with another status than 200, as far as it came in pieces
+  bool failed = false;
+  bool received_piece = false;
+  std::string error_body;  ///< pieces received of a response with a status other than 200
 };
 
 Client::~Client() {
@@ -80,7 +81,7 @@
   }
 }
 
-evhttp_connection* Client::take_idle(const Endpoint& endpoint) {
+evhttp_connection* Client::take_idle_connection(const Endpoint& endpoint) {
   auto& connections = idle_[to_string(endpoint)];
   if (connections.empty()) {
     return nullptr;
@@ -94,7 +95,7 @@
   const uint64_t call_id = ++last_call_id_;
   auto call = std::make_shared<Call>(*this, call_id, std::move(on_piece), std::move(on_done));
   call->endpoint = request.endpoint;
-  call->connection = request.fresh_connection ? nullptr : take_idle(request.endpoint);
+  call->connection = request.fresh_connection ? nullptr : take_idle_connection(request.endpoint);
   if (call->connection == nullptr) {
     call->connection = evhttp_connection_base_new(loop_.base(), nullptr, request.endpoint.address.c_str(),
                                                   request.endpoint.port);
@@ -107,19 +108,19 @@
   };
   evhttp_request* outgoing = evhttp_request_new(on_complete, call.get());
   const auto on_error = [](evhttp_request_error, void* context) {
-    static_cast<Call*>(context)->broken = true;
+    static_cast<Call*>(context)->failed = true;
   };
   evhttp_request_set_error_cb(outgoing, on_error);
   if (call->on_piece) {
     const auto on_chunk = [](evhttp_request* incoming, void* context) {
       auto* active = static_cast<Call*>(context);
-      active->any_piece = true;
+      active->received_piece = true;
       if (evhttp_request_get_response_code(incoming) != HTTP_OK) {
-        // evhttp drops what a chunk callback leaves.
-        active->error_body += take_all(evhttp_request_get_input_buffer(incoming));
+        // evhttp discards what a chunk callback does not consume.
+        active->error_body += drain_buffer(evhttp_request_get_input_buffer(incoming));
         return;
       }
-      active->on_piece(take_all(evhttp_request_get_input_buffer(incoming)));
+      active->on_piece(drain_buffer(evhttp_request_get_input_buffer(incoming)));
     };
     evhttp_request_set_chunked_cb(outgoing, on_chunk);
   }
@@ -135,9 +136,9 @@
   Call* active = call.get();
   calls_[call_id] = std::move(call);
   evhttp_connection* const connection = active->connection;
-  const int made =
-      evhttp_make_request(connection, outgoing, command_of(request.method), request.path.c_str());
-  if (made == 0 && calls_.count(call_id) > 0) {
+  const int start_result =
+      evhttp_make_request(connection, outgoing, evhttp_method(request.method), request.path.c_str());
+  if (start_result == 0 && calls_.count(call_id) > 0) {
     send_without_delay(connection);
   }
   return call_id;
@@ -148,22 +149,22 @@
   if (found == calls_.end()) {
     return;
   }
-  // The call stays alive until the loop's next turn, because libevent still holds its address.
+  // Keep the call alive until the next loop iteration, because libevent still holds its address.
   std::shared_ptr<Call> call = std::move(found->second);
   calls_.erase(found);
   auto& connections = idle_[to_string(call->endpoint)];
   evhttp_connection* connection = call->connection;
   loop_.after(0us, [call] {});
   if (reusable && connections.size() < kMaxIdlePerEndpoint) {
-    // Not offered before the next turn: libevent still finishes this answer.
+    // Not reusable before the next loop iteration: libevent is still completing this response.
     loop_.after(0us,
                 [this, connection, key = to_string(call->endpoint)] { idle_[key].push_back(connection); });
   } else {
-    release_later(connection);
+    free_later(connection);
   }
 }
 
-void Client::release_later(evhttp_connection* connection) {
+void Client::free_later(evhttp_connection* connection) {
   loop_.after(0us, [connection] { evhttp_connection_free(connection); });
 }
 
@@ -175,7 +176,7 @@
   std::shared_ptr<Call> call = std::move(found->second);
   calls_.erase(found);
   call->on_piece = [](const std::string&) {};
-  // Freeing the connection drops the request without calling back.
+  // Freeing the connection also frees the request, without calling its callbacks.
   loop_.after(0us, [call] { evhttp_connection_free(call->connection); });
   call->on_done = [](const ClientResult&) {};
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,5 +1,5 @@
-/// HTTP client on evhttp: keeps idle connections, streams answers, and tells whether a request can have been
-/// sent.
+/// HTTP client based on evhttp. It pools idle connections, streams responses, and reports whether a request
+/// can have reached the server.
 #pragma once
 
 #include <functional>
@@ -17,35 +17,36 @@
 
 namespace stoat::http {
 
-/// What to send.
+/// A request to send.
 struct ClientRequest {
   Endpoint endpoint;
   std::string method = "GET";
   std::string path = "/";
   std::vector<Header> headers;
   std::string body;
-  Duration timeout = 30s;  ///< of silence on the connection, and for connecting
-  bool fresh_connection =
-      false;  ///< do not reuse an idle connection, whose loss could not be told from a run
+  Duration timeout = 30s;  ///< limit for connecting and for inactivity on the connection
+  /// Do not reuse an idle connection: if it is lost, it is unknown whether the server executed the request.
+  bool fresh_connection = false;
 };
 
-/// How a request ended.
+/// The result of a request.
 struct ClientResult {
-  int status = 0;  ///< HTTP status; 0 when no whole answer came
+  int status = 0;  ///< HTTP status; 0 if no complete response was received
   std::string body;
-  bool not_sent = false;  ///< the connection could not be made: certainly no byte reached the server
+  bool not_sent =
+      false;  ///< no connection could be established, so no byte of the request reached the server
   std::vector<Header> headers;
 };
 
-/// Called for each piece of a body with status 200, when given; the pieces are then not collected in the
-/// result.
+/// Called for each piece of a response body with status 200. These pieces are not part of the result's body.
 using PieceHandler = std::function<void(const std::string& piece)>;
 using DoneHandler = std::function<void(const ClientResult& result)>;
 
-/// One request under way.
+/// One request in flight.
 class Call;
 
-/// Sends requests. Must outlive them.
+/// Sends requests on an event loop. Destroying the client drops the requests in flight without calling their
+/// handlers.
 class Client {
  public:
   explicit Client(EventLoop& loop) : loop_(loop) {}
@@ -53,16 +54,17 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Starts a request. `on_done` is called exactly once unless the call is cancelled.
+  /// Starts a request and returns its call id. `on_piece` may be empty. `on_done` is called exactly once
+  /// unless the call is cancelled.
   uint64_t start(const ClientRequest& request, PieceHandler on_piece, DoneHandler on_done);
-  /// Cancels a call; its connection is closed and never reused. Unknown ids are ignored.
+  /// Cancels a call. Its connection is closed and not reused. Unknown ids are ignored.
   void cancel(uint64_t call_id);
 
  private:
   friend class Call;
-  evhttp_connection* take_idle(const Endpoint& endpoint);
+  evhttp_connection* take_idle_connection(const Endpoint& endpoint);
   void finish(uint64_t call_id, bool reusable);
-  void release_later(evhttp_connection* connection);
+  void free_later(evhttp_connection* connection);
 
   EventLoop& loop_;
   uint64_t last_call_id_ = 0;
--- a/src/http/event_loop.cc
+++ b/src/http/event_loop.cc
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-/// A repeating timer or a signal handler, kept for the loop's life.
-struct EventLoop::Timer {
+/// A repeating timer or a signal handler, which lives as long as the loop.
+struct EventLoop::EventHandler {
   std::function<void()> action;
   event* handle = nullptr;
-  ~Timer() { event_free(handle); }
+  ~EventHandler() { event_free(handle); }
 };
 
 EventLoop::EventLoop() {
@@ -39,7 +39,7 @@
 }
 
 EventLoop::~EventLoop() {
-  timers_.clear();
+  handlers_.clear();
   event_free(posted_event_);
   event_base_free(base_);
 }
@@ -49,23 +49,25 @@
 void EventLoop::stop() { event_base_loopbreak(base_); }
 
 void EventLoop::every(Duration period, std::function<void()> action) {
-  auto timer = std::make_unique<Timer>();
-  timer->action = std::move(action);
-  const auto on_timer = [](evutil_socket_t, short, void* context) { static_cast<Timer*>(context)->action(); };
-  timer->handle = event_new(base_, -1, EV_PERSIST, on_timer, timer.get());
+  auto handler = std::make_unique<EventHandler>();
+  handler->action = std::move(action);
+  const auto on_timer = [](evutil_socket_t, short, void* context) {
+    static_cast<EventHandler*>(context)->action();
+  };
+  handler->handle = event_new(base_, -1, EV_PERSIST, on_timer, handler.get());
   const timeval interval = to_timeval(period);
-  event_add(timer->handle, &interval);
-  timers_.push_back(std::move(timer));
+  event_add(handler->handle, &interval);
+  handlers_.push_back(std::move(handler));
 }
 
 void EventLoop::after(Duration delay, std::function<void()> action) {
-  auto holder = std::make_unique<std::function<void()>>(std::move(action));
+  auto owned_action = std::make_unique<std::function<void()>>(std::move(action));
   const auto on_timer = [](evutil_socket_t, short, void* context) {
     const std::unique_ptr<std::function<void()>> owned(static_cast<std::function<void()>*>(context));
     (*owned)();
   };
   const timeval interval = to_timeval(delay);
-  event_base_once(base_, -1, EV_TIMEOUT, on_timer, holder.release(), &interval);
+  event_base_once(base_, -1, EV_TIMEOUT, on_timer, owned_action.release(), &interval);
 }
 
 void EventLoop::on_terminate(const std::function<void()>& action) {
@@ -74,14 +76,14 @@
 }
 
 void EventLoop::on_signal(int signal_number, std::function<void()> action) {
-  auto timer = std::make_unique<Timer>();
-  timer->action = std::move(action);
+  auto handler = std::make_unique<EventHandler>();
+  handler->action = std::move(action);
   const auto on_signal = [](evutil_socket_t, short, void* context) {
-    static_cast<Timer*>(context)->action();
+    static_cast<EventHandler*>(context)->action();
   };
-  timer->handle = event_new(base_, signal_number, EV_SIGNAL | EV_PERSIST, on_signal, timer.get());
-  event_add(timer->handle, nullptr);
-  timers_.push_back(std::move(timer));
+  handler->handle = event_new(base_, signal_number, EV_SIGNAL | EV_PERSIST, on_signal, handler.get());
+  event_add(handler->handle, nullptr);
+  handlers_.push_back(std::move(handler));
 }
 
 void EventLoop::post(std::function<void()> action) {
--- a/src/http/event_loop.h
+++ b/src/http/event_loop.h
@@ -1,4 +1,4 @@
-/// One libevent loop a process: timers, signals, deferred calls, and calls from other threads.
+/// Event loop based on libevent: timers, signals, deferred calls, and calls from other threads.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace stoat {
 
-/// Owns an event_base. All calls but post() come from the loop's own thread.
+/// Owns an event_base. All methods except post() must be called from the loop's thread.
 class EventLoop {
  public:
   EventLoop();
@@ -28,23 +28,23 @@
   void run();
   void stop();
 
-  /// Calls `action` every `period` for as long as the loop lives.
+  /// Calls `action` every `period` until the loop is destroyed.
   void every(Duration period, std::function<void()> action);
   /// Calls `action` once after `delay`.
   void after(Duration delay, std::function<void()> action);
   /// Calls `action` on SIGTERM and SIGINT.
   void on_terminate(const std::function<void()>& action);
-  /// Calls `action` on a signal.
+  /// Calls `action` on each delivery of a signal.
   void on_signal(int signal_number, std::function<void()> action);
-  /// From any thread: calls `action` on the loop's thread.
+  /// Calls `action` on the loop's thread. May be called from any thread.
   void post(std::function<void()> action);
 
  private:
-  struct Timer;
+  struct EventHandler;
   void run_posted();
 
   event_base* base_ = nullptr;
-  std::vector<std::unique_ptr<Timer>> timers_;
+  std::vector<std::unique_ptr<EventHandler>> handlers_;
   std::mutex posted_mutex_;
   std::vector<std::function<void()>> posted_;
   event* posted_event_ = nullptr;
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -32,7 +32,7 @@
   }
 }
 
-std::string drain(evbuffer* buffer) {
+std::string drain_buffer(evbuffer* buffer) {
   std::string bytes(evbuffer_get_length(buffer), '\0');
   evbuffer_remove(buffer, bytes.data(), bytes.size());
   return bytes;
@@ -47,14 +47,14 @@
   const char* query_text = evhttp_uri_get_query(uri);
   path_ = path == nullptr ? "/" : path;
   query_ = query_text == nullptr ? "" : query_text;
-  body_ = drain(evhttp_request_get_input_buffer(request));
+  body_ = drain_buffer(evhttp_request_get_input_buffer(request));
   send_without_delay(evhttp_request_get_connection(request));
   const auto on_close = [](evhttp_connection*, void* context) {
     auto* exchange = static_cast<Exchange*>(context);
-    exchange->gone_ = true;
-    if (exchange->on_gone_) {
-      const auto action = std::move(exchange->on_gone_);
-      exchange->on_gone_ = nullptr;
+    exchange->disconnected_ = true;
+    if (exchange->on_disconnect_) {
+      const auto action = std::move(exchange->on_disconnect_);
+      exchange->on_disconnect_ = nullptr;
       action();
     }
   };
@@ -67,12 +67,12 @@
   }
 }
 
-void Exchange::forget_connection() {
+void Exchange::clear_close_callback() {
   evhttp_connection* connection = evhttp_request_get_connection(request_);
-  if (connection != nullptr && !gone_) {
+  if (connection != nullptr && !disconnected_) {
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
   }
-  on_gone_ = nullptr;
+  on_disconnect_ = nullptr;
 }
 
 std::string Exchange::header(const std::string& name) const {
@@ -111,7 +111,7 @@
   add_headers(content_type, headers);
   evbuffer* buffer = evbuffer_new();
   evbuffer_add(buffer, body.data(), body.size());
-  forget_connection();
+  clear_close_callback();
   evhttp_send_reply(request_, status, nullptr, buffer);
   evbuffer_free(buffer);
   request_ = nullptr;
@@ -126,7 +126,7 @@
 }
 
 void Exchange::send(const std::string& piece) {
-  if (request_ == nullptr || gone_) {
+  if (request_ == nullptr || disconnected_) {
     return;
   }
   evbuffer* buffer = evbuffer_new();
@@ -139,7 +139,7 @@
   if (request_ == nullptr) {
     return;
   }
-  forget_connection();
+  clear_close_callback();
   evhttp_send_reply_end(request_);
   request_ = nullptr;
 }
@@ -148,9 +148,9 @@
   if (request_ == nullptr) {
     return;
   }
-  forget_connection();
+  clear_close_callback();
   evhttp_connection* connection = evhttp_request_get_connection(request_);
-  if (connection != nullptr && !gone_) {
+  if (connection != nullptr && !disconnected_) {
     evhttp_connection_free(connection);
   } else {
     evhttp_send_reply_end(request_);
@@ -186,9 +186,9 @@
 
 void Server::route(const std::string& method, const std::string& path, Handler handler) {
   if (path.size() >= 2 && path.ends_with("/*")) {
-    prefixes_.emplace_back(method + " " + path.substr(0, path.size() - 1), std::move(handler));
+    prefix_routes_.emplace_back(method + " " + path.substr(0, path.size() - 1), std::move(handler));
   } else {
-    exact_[method + " " + path] = std::move(handler);
+    exact_routes_[method + " " + path] = std::move(handler);
   }
 }
 
@@ -198,12 +198,12 @@
     exchange->close_after_reply();
   }
   const std::string key = exchange->method() + " " + exchange->path();
-  const auto found = exact_.find(key);
-  if (found != exact_.end()) {
+  const auto found = exact_routes_.find(key);
+  if (found != exact_routes_.end()) {
     found->second(exchange);
     return;
   }
-  for (const auto& [prefix, handler] : prefixes_) {
+  for (const auto& [prefix, handler] : prefix_routes_) {
     if (key.starts_with(prefix)) {
       handler(exchange);
       return;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,4 +1,4 @@
-/// HTTP server on evhttp: routes, whole replies and streamed replies.
+/// HTTP server based on evhttp, with routes, complete replies and streamed replies.
 #pragma once
 
 #include <functional>
@@ -22,8 +22,8 @@
   std::string value;
 };
 
-/// One request and its reply. The reply must be ended exactly once: reply(), or start_stream() and
-/// end_stream().
+/// One request and its reply. The reply must be ended exactly once, by reply(), by start_stream() followed by
+/// end_stream(), or by abort(). An exchange that is destroyed before that replies with status 500.
 class Exchange {
  public:
   explicit Exchange(evhttp_request* request);
@@ -44,52 +44,54 @@
   void start_stream(int status, const std::string& content_type, const std::vector<Header>& headers = {});
   void send(const std::string& piece);
   void end_stream();
-  /// Breaks the connection off, so that a cut stream does not look finished.
+  /// Closes the connection without ending the reply, so that a truncated stream does not look complete.
   void abort();
 
-  /// Called once when the caller goes away before the reply has ended.
-  void on_gone(std::function<void()> action) { on_gone_ = std::move(action); }
-  bool gone() const { return gone_; }
+  /// Sets an action to call once if the client disconnects before the reply has ended.
+  void on_gone(std::function<void()> action) { on_disconnect_ = std::move(action); }
+  /// True once the client has disconnected.
+  bool gone() const { return disconnected_; }
   bool ended() const { return request_ == nullptr; }
-  /// Makes the reply the connection's last one. Only before the reply begins.
+  /// Closes the connection after this reply. Must be called before the reply starts.
   void close_after_reply() { close_after_reply_ = true; }
 
  private:
   void add_headers(const std::string& content_type, const std::vector<Header>& headers);
-  void forget_connection();
+  void clear_close_callback();
 
   evhttp_request* request_;
   std::string method_;
   std::string path_;
   std::string query_;
   std::string body_;
-  std::function<void()> on_gone_;
-  bool gone_ = false;
+  std::function<void()> on_disconnect_;
+  bool disconnected_ = false;
   bool close_after_reply_ = false;
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 using Handler = std::function<void(const ExchangePtr&)>;
 
-/// Limits on what callers may send.
+/// Limits on requests and connections of clients.
 struct ServerLimits {
   size_t max_body_bytes = 8U << 20U;
   size_t max_header_bytes = 64U << 10U;
-  int idle_timeout_s = 60;  ///< also ends half-open and very slow callers
+  int idle_timeout_s = 60;  ///< also closes half-open connections and those of very slow clients
 };
 
-/// Listens on one address. Routes match "METHOD /path"; a path that ends in "/*" matches what begins with it.
+/// Listens on one address. Routes match a method and a path. A path that ends in "/*" matches every path that
+/// begins with the part before the "*"; exact paths take precedence.
 class Server {
  public:
-  /// Throws std::runtime_error when the address can't be bound.
+  /// Throws std::runtime_error if the address can't be bound.
   Server(EventLoop& loop, const Endpoint& endpoint, const ServerLimits& limits = {});
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
   void route(const std::string& method, const std::string& path, Handler handler);
-  /// Stops taking new connections; requests on open ones are still served, and each reply then closes its
-  /// connection.
+  /// Stops accepting new connections. Requests on open connections are still served, and each reply then
+  /// closes its connection.
   void stop_listening();
 
  private:
@@ -97,8 +99,8 @@
 
   evhttp* http_ = nullptr;
   evhttp_bound_socket* socket_ = nullptr;
-  std::map<std::string, Handler> exact_;
-  std::vector<std::pair<std::string, Handler>> prefixes_;
+  std::map<std::string, Handler> exact_routes_;
+  std::vector<std::pair<std::string, Handler>> prefix_routes_;
 };
 
 }  // namespace stoat::http
--- a/src/http/socket_options.cc
+++ b/src/http/socket_options.cc
@@ -16,7 +16,7 @@
   }
 }
 
-void limit_silence(int socket, Duration limit) {
+void set_unacknowledged_timeout(int socket, Duration limit) {
   const auto milliseconds = static_cast<unsigned int>(to_milliseconds(limit));
   if (socket >= 0) {
     setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof(milliseconds));
@@ -35,7 +35,7 @@
   }
 }
 
-bufferevent* connect_to(event_base* base, const Endpoint& endpoint, Duration silence_limit) {
+bufferevent* connect_to(event_base* base, const Endpoint& endpoint, Duration unacknowledged_timeout) {
   sockaddr_storage address{};
   int length = sizeof(address);
   const std::string text = to_string(endpoint);
@@ -47,7 +47,7 @@
     return nullptr;
   }
   send_without_delay(descriptor);
-  limit_silence(descriptor, silence_limit);
+  set_unacknowledged_timeout(descriptor, unacknowledged_timeout);
   bufferevent* connection =
       bufferevent_socket_new(base, descriptor, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   if (connection == nullptr) {
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -1,4 +1,4 @@
-/// Options of the sockets below evhttp.
+/// TCP socket options, and opening and closing of connections.
 #pragma once
 
 #include "src/common/settings.h"
@@ -10,23 +10,26 @@
 
 namespace stoat::http {
 
-/// Makes small writes leave at once. Otherwise the kernel holds a token back until the one before it is
-/// acknowledged, which takes up to 40 ms.
+/// Disables Nagle's algorithm (TCP_NODELAY). With it, the kernel delays a small write, such as one token,
+/// until the previous one is acknowledged, which takes up to 40 ms.
 void send_without_delay(int socket);
 
 /// Overload for the socket of an HTTP connection.
 void send_without_delay(evhttp_connection* connection);
 
-/// Closes a connection, or gives up making it, once what was sent has gone unacknowledged for so long.
-void limit_silence(int socket, Duration limit);
+/// Sets how long sent data may stay unacknowledged (TCP_USER_TIMEOUT) before the kernel closes the connection
+/// or gives up connecting.
+void set_unacknowledged_timeout(int socket, Duration limit);
 
-/// Lets the kernel ask a quiet peer for a sign of life every second; with limit_silence() a connection to a
-/// machine that has gone dark ends even while nothing is being sent.
+/// Enables TCP keepalive probes after one second without traffic, repeated every second. Together with
+/// set_unacknowledged_timeout(), a connection to an unreachable machine is closed even while nothing is being
+/// sent.
 void probe_when_quiet(int socket);
 
-/// A bufferevent that is connecting to an endpoint, without delay for small writes and with limit_silence().
-/// Its callbacks are deferred. nullptr when the endpoint is malformed or no socket is to be had.
-bufferevent* connect_to(event_base* base, const Endpoint& endpoint, Duration silence_limit);
+/// Starts connecting to an endpoint, with send_without_delay() and set_unacknowledged_timeout() applied. The
+/// callbacks of the returned bufferevent are deferred. Returns nullptr if the endpoint is malformed or no
+/// socket can be opened or connected.
+bufferevent* connect_to(event_base* base, const Endpoint& endpoint, Duration unacknowledged_timeout);
 
 /// Closes the socket of a bufferevent immediately and frees the bufferevent. bufferevent_free() alone defers
 /// closing the socket to the event loop. If a deferred callback is pending and the loop does not run again,
--- a/src/http1/head_check.cc
+++ b/src/http1/head_check.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// What the header lines of a head said about its framing.
+/// Number of header lines seen so far that determine the framing of a message.
 struct Framing {
-  int hosts = 0;
-  int lengths = 0;
-  int encodings = 0;
+  int host_count = 0;
+  int length_count = 0;
+  int encoding_count = 0;
 };
 
 std::string_view trim(std::string_view text) {
@@ -48,27 +48,27 @@
   constexpr size_t kMaxDigits = 18;
   const bool digits = !value.empty() && value.size() <= kMaxDigits &&
                       std::all_of(value.begin(), value.end(), [](char c) { return c >= '0' && c <= '9'; });
-  ++framing.lengths;
-  return digits && framing.lengths == 1 ? HeadFault::kNone : HeadFault::kLength;
+  ++framing.length_count;
+  return digits && framing.length_count == 1 ? HeadFault::kNone : HeadFault::kLength;
 }
 
 HeadFault check_header_line(std::string_view line, Framing& framing) {
   const size_t colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0) {
-    return HeadFault::kSpaceInName;
+    return HeadFault::kMalformedName;
   }
   const std::string_view name = line.substr(0, colon);
   if (name.find_first_of(" \t") != std::string_view::npos) {
-    return HeadFault::kSpaceInName;
+    return HeadFault::kMalformedName;
   }
   const std::string_view value = trim(line.substr(colon + 1));
   if (same_name(name, "host")) {
-    ++framing.hosts;
+    ++framing.host_count;
   } else if (same_name(name, "content-length")) {
     return check_length(value, framing);
   } else if (same_name(name, "transfer-encoding")) {
-    ++framing.encodings;
-    if (framing.encodings > 1 || !same_name(value, "chunked")) {
+    ++framing.encoding_count;
+    if (framing.encoding_count > 1 || !same_name(value, "chunked")) {
       return HeadFault::kEncoding;
     }
   }
@@ -98,7 +98,7 @@
       return "a header must not be folded";
     case HeadFault::kControlByte:
       return "control character in the head";
-    case HeadFault::kSpaceInName:
+    case HeadFault::kMalformedName:
       return "malformed header name";
     case HeadFault::kNoHost:
       return "there must be one Host header";
@@ -130,10 +130,10 @@
     first = false;
     position = end + 2;
   }
-  if (framing.hosts != 1) {
+  if (framing.host_count != 1) {
     return HeadFault::kNoHost;
   }
-  return framing.lengths > 0 && framing.encodings > 0 ? HeadFault::kLength : HeadFault::kNone;
+  return framing.length_count > 0 && framing.encoding_count > 0 ? HeadFault::kLength : HeadFault::kNone;
 }
 
 }  // namespace stoat::http1
--- a/src/http1/message.cc
+++ b/src/http1/message.cc
@@ -60,7 +60,7 @@
   parser_.data = this;
   headers_ = Headers();
   target_.clear();
-  in_value_ = true;
+  last_was_value_ = true;
   begun_ = false;
   complete_ = false;
   stopped_ = false;
@@ -70,48 +70,48 @@
   http_parser_settings settings;
   http_parser_settings_init(&settings);
   settings.on_url = [](http_parser* parser, const char* bytes, size_t length) {
-    self(parser).target_.append(bytes, length);
+    owner_of(parser).target_.append(bytes, length);
     return 0;
   };
   settings.on_header_field = [](http_parser* parser, const char* bytes, size_t length) {
-    MessageParser& reader = self(parser);
-    if (reader.in_value_) {
-      reader.headers_.add("", "");
-      reader.in_value_ = false;
+    MessageParser& owner = owner_of(parser);
+    if (owner.last_was_value_) {
+      owner.headers_.add("", "");
+      owner.last_was_value_ = false;
     }
-    reader.headers_.lines().back().name.append(bytes, length);
+    owner.headers_.lines().back().name.append(bytes, length);
     return 0;
   };
   settings.on_header_value = [](http_parser* parser, const char* bytes, size_t length) {
-    MessageParser& reader = self(parser);
-    reader.in_value_ = true;
-    if (!reader.headers_.lines().empty()) {
-      reader.headers_.lines().back().value.append(bytes, length);
+    MessageParser& owner = owner_of(parser);
+    owner.last_was_value_ = true;
+    if (!owner.headers_.lines().empty()) {
+      owner.headers_.lines().back().value.append(bytes, length);
     }
     return 0;
   };
   settings.on_headers_complete = [](http_parser* parser) {
-    MessageParser& reader = self(parser);
-    reader.stopped_ = !reader.sink_.on_head();
-    return reader.stopped_ ? -1 : 0;
+    MessageParser& owner = owner_of(parser);
+    owner.stopped_ = !owner.sink_.on_head();
+    return owner.stopped_ ? -1 : 0;
   };
   settings.on_body = [](http_parser* parser, const char* bytes, size_t length) {
-    MessageParser& reader = self(parser);
-    reader.stopped_ = !reader.sink_.on_body(std::string_view(bytes, length));
-    return reader.stopped_ ? -1 : 0;
+    MessageParser& owner = owner_of(parser);
+    owner.stopped_ = !owner.sink_.on_body(std::string_view(bytes, length));
+    return owner.stopped_ ? -1 : 0;
   };
   settings.on_message_complete = [](http_parser* parser) {
-    self(parser).complete_ = true;
-    http_parser_pause(parser, 1);  // what follows is not part of this message
+    owner_of(parser).complete_ = true;
+    http_parser_pause(parser, 1);  // the bytes that follow are not part of this message
     return 0;
   };
   return settings;
 }
 
-ParseState MessageParser::feed(std::string_view bytes, size_t& used) {
+ParseState MessageParser::feed(std::string_view bytes, size_t& consumed) {
   static const http_parser_settings settings = make_settings();
   begun_ = begun_ || !bytes.empty();
-  used = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
+  consumed = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
   const ParseState state = outcome();
   if (state == ParseState::kComplete) {
     http_parser_pause(&parser_, 0);
@@ -127,14 +127,14 @@
   if (complete_) {
     return ParseState::kComplete;
   }
-  return HTTP_PARSER_ERRNO(&parser_) == HPE_OK && parser_.upgrade == 0 ? ParseState::kMore
+  return HTTP_PARSER_ERRNO(&parser_) == HPE_OK && parser_.upgrade == 0 ? ParseState::kIncomplete
                                                                        : ParseState::kMalformed;
 }
 
 ParseState MessageParser::finish() {
-  size_t used = 0;
-  const ParseState state = feed(std::string_view(), used);
-  return state == ParseState::kMore ? ParseState::kMalformed : state;
+  size_t consumed = 0;
+  const ParseState state = feed(std::string_view(), consumed);
+  return state == ParseState::kIncomplete ? ParseState::kMalformed : state;
 }
 
 }  // namespace stoat::http1
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -1,4 +1,4 @@
-/// Heads of HTTP/1.1 messages, and the parser that reads whole messages from a byte stream.
+/// Headers of HTTP/1.1 messages, and a parser that reads messages from a byte stream.
 #pragma once
 
 #include <http_parser.h>
@@ -10,24 +10,25 @@
 
 namespace stoat::http1 {
 
-/// One header line, as it came.
+/// One header line as received.
 struct HeaderLine {
   std::string name;
   std::string value;
 };
 
-/// Compares header names, which do not depend on case.
+/// Compares header names, ignoring ASCII case.
 bool same_name(std::string_view left, std::string_view right);
 
-/// The header lines of one message, in order.
+/// The header lines of one message, in the order received.
 class Headers {
  public:
   void add(std::string_view name, std::string_view value) {
     lines_.push_back({std::string(name), std::string(value)});
   }
-  /// The value of the first line of a name, or nullptr.
+  /// The value of the first header line with this name, or nullptr.
   const std::string* find(std::string_view name) const;
-  /// True when a comma-separated header holds a token.
+  /// True if the first header line with this name, a comma-separated list, contains a token. Ignores ASCII
+  /// case.
   bool has_token(std::string_view name, std::string_view token) const;
   const std::vector<HeaderLine>& lines() const { return lines_; }
   std::vector<HeaderLine>& lines() { return lines_; }
@@ -36,29 +37,31 @@
   std::vector<HeaderLine> lines_;
 };
 
-/// True for headers that concern one connection only and are never passed on.
+/// True for headers that are not forwarded by a proxy: hop-by-hop headers, and Content-Length and Expect.
 bool is_hop_header(std::string_view name);
 
-/// What a parser tells its owner. Called from within MessageParser::feed() and finish().
+/// Receives the events of a MessageParser. Its methods are called from within MessageParser::feed() and
+/// finish().
 class MessageSink {
  public:
   virtual ~MessageSink() = default;
-  /// The head is whole. Return false to stop.
+  /// The head is complete. Returns false to stop parsing.
   virtual bool on_head() = 0;
+  /// A piece of the body was read. Returns false to stop parsing.
   virtual bool on_body(std::string_view piece) = 0;
-  /// The message is whole. Bytes after it are left to the owner.
+  /// The message is complete. Bytes after it are not consumed.
   virtual void on_complete() = 0;
 };
 
-/// How far a call of feed() came.
+/// State of a message after a call of feed().
 enum class ParseState : uint8_t {
-  kMore,      ///< all bytes were used; the message is not whole
-  kComplete,  ///< the message is whole; bytes may be left
+  kIncomplete,  ///< all bytes were consumed; the message is not complete
+  kComplete,    ///< the message is complete; there may be unconsumed bytes
   kMalformed,
-  kStopped,  ///< the sink asked to stop
+  kStopped,  ///< the sink stopped parsing
 };
 
-/// Reads one message at a time, on the http-parser library. reset() prepares it for the next.
+/// Parses one message at a time, using the http-parser library. reset() prepares it for the next message.
 class MessageParser {
  public:
   enum class Kind : uint8_t { kRequest, kResponse };
@@ -66,9 +69,10 @@
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
 
-  /// Uses bytes; `used` becomes their number.
-  ParseState feed(std::string_view bytes, size_t& used);
-  /// The other side has ended the connection: kComplete when that ends the message, else kMalformed.
+  /// Parses bytes and sets `consumed` to the number of bytes that were parsed.
+  ParseState feed(std::string_view bytes, size_t& consumed);
+  /// Reports that the peer has closed the connection. Returns kComplete if that ends the message, kStopped if
+  /// the sink stopped parsing, and kMalformed otherwise.
   ParseState finish();
   void reset();
 
@@ -78,12 +82,13 @@
   std::string method() const { return http_method_str(static_cast<http_method>(parser_.method)); }
   int status() const { return static_cast<int>(parser_.status_code); }
   bool keep_alive() const { return http_should_keep_alive(&parser_) != 0; }
-  /// The length that the head announced, or UINT64_MAX.
+  /// Content-Length minus the body bytes parsed so far, or UINT64_MAX if the head has no Content-Length.
   uint64_t content_length() const { return parser_.content_length; }
+  /// True once any byte of the message was received.
   bool begun() const { return begun_; }
 
  private:
-  static MessageParser& self(http_parser* parser) { return *static_cast<MessageParser*>(parser->data); }
+  static MessageParser& owner_of(http_parser* parser) { return *static_cast<MessageParser*>(parser->data); }
   static http_parser_settings make_settings();
   ParseState outcome() const;
 
@@ -92,7 +97,7 @@
   MessageSink& sink_;
   Headers headers_;
   std::string target_;
-  bool in_value_ = true;
+  bool last_was_value_ = true;  ///< the last header event was a value, so that a name starts a new line
   bool begun_ = false;
   bool complete_ = false;
   bool stopped_ = false;
