--- a/src/storage/file_system.cc
+++ b/src/storage/file_system.cc
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-DiskFileSystem::DiskFileSystem(std::string folder) : folder_(std::move(folder)) {
+DiskFileSystem::DiskFileSystem(std::string directory) : directory_(std::move(directory)) {
   std::error_code error;
-  std::filesystem::create_directories(folder_, error);
+  std::filesystem::create_directories(directory_, error);
   if (error) {
-    throw std::runtime_error("cannot make the data folder " + folder_ + ": " + error.message());
+    throw std::runtime_error("cannot create the data directory " + directory_ + ": " + error.message());
   }
 }
 
@@ -107,35 +107,35 @@
 
 FileResult DiskFileSystem::replace(const std::string& name, const std::string& bytes) {
   const std::string path = path_of(name);
-  const std::string beside = path + ".new";
-  const int descriptor = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
+  const std::string temporary_path = path + ".new";
+  const int descriptor = ::open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
   if (descriptor < 0) {
-    return failure(beside, "open");
+    return failure(temporary_path, "open");
   }
   const bool written = write_all(descriptor, bytes) && ::fsync(descriptor) == 0;
   ::close(descriptor);
   if (!written) {
-    return failure(beside, "write");
+    return failure(temporary_path, "write");
   }
-  if (::rename(beside.c_str(), path.c_str()) != 0) {
+  if (::rename(temporary_path.c_str(), path.c_str()) != 0) {
     return failure(path, "rename");
   }
   if (append_name_ == name && append_descriptor_ >= 0) {
     ::close(append_descriptor_);
     append_descriptor_ = -1;
   }
-  return sync_folder();
+  return sync_directory();
 }
 
-FileResult DiskFileSystem::sync_folder() {
-  const int descriptor = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+FileResult DiskFileSystem::sync_directory() {
+  const int descriptor = ::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0) {
-    return failure(folder_, "open");
+    return failure(directory_, "open");
   }
   const int result = ::fsync(descriptor);
   ::close(descriptor);
   if (result != 0) {
-    return failure(folder_, "sync");
+    return failure(directory_, "sync");
   }
   return {};
 }
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -1,4 +1,5 @@
-/// The little that storage needs of a file system, so that tests can lose, tear and fail it.
+/// The file system operations that storage needs, as an interface, so that tests can simulate lost data, torn
+/// writes and I/O errors.
 #pragma once
 
 #include <optional>
@@ -16,27 +17,28 @@
 
 using FileResult = tl::expected<void, FileError>;
 
-/// Files of one data folder, by plain name. What was written counts only after a successful sync.
+/// The files of one data directory, identified by name. Appended data is durable only after a successful
+/// sync.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  /// Whole content, or nullopt when there is no such file.
+  /// The whole content of a file, or nullopt if it does not exist.
   virtual tl::expected<std::optional<std::string>, FileError> read(const std::string& name) = 0;
-  /// Appends bytes to a file, which is made when missing. Not yet durable.
+  /// Appends bytes to a file, which is created if missing. They are not durable before sync().
   virtual FileResult append(const std::string& name, const std::string& bytes) = 0;
-  /// Makes what was appended to the file durable.
+  /// Makes all data appended to a file durable.
   virtual FileResult sync(const std::string& name) = 0;
-  /// Cuts a file to a length and syncs it.
+  /// Truncates a file to a length and syncs it.
   virtual FileResult truncate(const std::string& name, uint64_t length) = 0;
-  /// Replaces a file in one step: written beside, synced, renamed, and the folder synced.
+  /// Replaces a file atomically: writes and syncs a temporary file, renames it, and syncs the directory.
   virtual FileResult replace(const std::string& name, const std::string& bytes) = 0;
 };
 
-/// The real file system, below one folder.
+/// Files of a directory on disk.
 class DiskFileSystem : public FileSystem {
  public:
-  /// Makes the folder when missing. Throws std::runtime_error when that fails.
-  explicit DiskFileSystem(std::string folder);
+  /// Creates the directory if missing. Throws std::runtime_error if that fails.
+  explicit DiskFileSystem(std::string directory);
   ~DiskFileSystem() override;
   DiskFileSystem(const DiskFileSystem&) = delete;
   DiskFileSystem& operator=(const DiskFileSystem&) = delete;
@@ -48,12 +50,12 @@
   FileResult replace(const std::string& name, const std::string& bytes) override;
 
  private:
-  std::string path_of(const std::string& name) const { return folder_ + "/" + name; }
-  FileResult sync_folder();
+  std::string path_of(const std::string& name) const { return directory_ + "/" + name; }
+  FileResult sync_directory();
   int open_for_append(const std::string& name);
 
-  std::string folder_;
-  std::string append_name_;  ///< the file that is held open for appending
+  std::string directory_;
+  std::string append_name_;  ///< the file that is kept open for appending
   int append_descriptor_ = -1;
 };
 
--- a/src/storage/record_log.cc
+++ b/src/storage/record_log.cc
@@ -12,12 +12,12 @@
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kChecksumBytes = 8;
 constexpr size_t kHeaderBytes = kLengthBytes + kChecksumBytes;
-/// Seed of the checksum, so that a run of zero bytes is never a valid record.
+/// Checksum seed, so that a run of zero bytes is never a valid record.
 constexpr uint64_t kChecksumSeed = 0x7265636f7264ULL;
 
 uint64_t checksum_of(std::string_view payload) { return hash_bytes(payload, kChecksumSeed + payload.size()); }
 
-/// The payload of a whole and undamaged record at `offset`.
+/// The payload of the record at `offset`; nullopt if the record is incomplete or its checksum does not match.
 std::optional<std::string_view> record_at(std::string_view bytes, uint64_t offset) {
   if (bytes.size() - offset < kHeaderBytes) {
     return std::nullopt;
@@ -47,7 +47,7 @@
   return record.append(payload);
 }
 
-tl::expected<RecordScan, RecordDamage> scan_records(std::string_view bytes) {
+tl::expected<RecordScan, RecordCorruption> scan_records(std::string_view bytes) {
   RecordScan scan;
   while (scan.valid_length < bytes.size()) {
     const auto payload = record_at(bytes, scan.valid_length);
@@ -59,8 +59,8 @@
   }
   for (uint64_t offset = scan.valid_length + 1; offset + kHeaderBytes <= bytes.size(); ++offset) {
     if (record_at(bytes, offset)) {
-      return tl::make_unexpected(RecordDamage{
-          scan.valid_length, "damaged record before a good one at offset " + std::to_string(offset)});
+      return tl::make_unexpected(RecordCorruption{
+          scan.valid_length, "corrupt record before a valid one at offset " + std::to_string(offset)});
     }
   }
   return scan;
--- a/src/storage/record_log.h
+++ b/src/storage/record_log.h
@@ -1,5 +1,5 @@
-/// Records in a file: 4-byte length, 8-byte checksum, payload. A torn tail is cut; damage before it is an
-/// error.
+/// Checksummed records in a file: 4-byte length and 8-byte checksum, both in host byte order, then the
+/// payload. A torn tail, left by an interrupted write, is ignored; corruption before it is an error.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace stoat::storage {
 
-/// Damage that is not a torn tail.
-struct RecordDamage {
-  uint64_t offset = 0;  ///< of the damaged record in the file
+/// Corruption that is not a torn tail.
+struct RecordCorruption {
+  uint64_t offset = 0;  ///< of the corrupt record in the file
   std::string message;
 };
 
-/// What a file of records held.
+/// The records read from a file.
 struct RecordScan {
   std::vector<std::string> payloads;
-  uint64_t valid_length = 0;  ///< bytes up to the end of the last whole record; the rest is a torn tail
+  uint64_t valid_length = 0;  ///< bytes up to the end of the last valid record; the rest is a torn tail
 };
 
-/// The bytes of one record.
+/// Encodes one record.
 std::string make_record(std::string_view payload);
 
-/// Reads all records. A bad record with no good record anywhere after it is a torn tail; otherwise it is
-/// damage.
-tl::expected<RecordScan, RecordDamage> scan_records(std::string_view bytes);
+/// Reads all records. An invalid record is a torn tail if no valid record starts anywhere after it; otherwise
+/// it is corruption.
+tl::expected<RecordScan, RecordCorruption> scan_records(std::string_view bytes);
 
 }  // namespace stoat::storage
--- a/src/storage/replica_store.cc
+++ b/src/storage/replica_store.cc
@@ -14,7 +14,7 @@
 constexpr char kSnapshotFile[] = "snapshot";
 constexpr char kLogFile[] = "log";
 
-/// Drops the entries from `index` on.
+/// Log record that removes the entries from `index` on.
 struct TruncateRecord {
   uint64_t index = 0;
   MSGPACK_DEFINE_ARRAY(index)
@@ -24,12 +24,13 @@
 
 std::string encode_record(const LogRecord& record) { return make_record(wire::encode(record)); }
 
-FileError damage_of(const char* file, const RecordDamage& damage) {
-  return {file, "offset " + std::to_string(damage.offset) + ": " + damage.message};
+FileError corruption_error(const char* file, const RecordCorruption& corruption) {
+  return {file, "offset " + std::to_string(corruption.offset) + ": " + corruption.message};
 }
 
-/// Puts log records together again. Returns false when an entry does not follow the one before it.
-bool replay(const LogRecord& record, consensus::RestoredState& state) {
+/// Applies a log record to the state that is being restored. Returns false if the record is an entry whose
+/// index does not follow that of the previous entry.
+bool apply_record(const LogRecord& record, consensus::RestoredState& state) {
   if (const auto* hard_state = std::get_if<consensus::HardState>(&record.value)) {
     state.hard_state = *hard_state;
     return true;
@@ -43,17 +44,18 @@
   if (entry.index <= state.snapshot.index) {
     return true;
   }
-  const uint64_t last = state.entries.empty() ? state.snapshot.index : state.entries.back().index;
-  if (entry.index != last + 1) {
+  const uint64_t last_index = state.entries.empty() ? state.snapshot.index : state.entries.back().index;
+  if (entry.index != last_index + 1) {
     return false;
   }
   state.entries.push_back(entry);
   return true;
 }
 
-/// The one record of a file that is always replaced whole.
+/// Loads a file that holds exactly one record, because it is always replaced as a whole; nullopt if the file
+/// does not exist.
 template <typename Value>
-tl::expected<std::optional<Value>, FileError> load_single(FileSystem& files, const char* name) {
+tl::expected<std::optional<Value>, FileError> load_single_record(FileSystem& files, const char* name) {
   const auto bytes = files.read(name);
   if (!bytes) {
     return tl::make_unexpected(bytes.error());
@@ -63,10 +65,11 @@
   }
   const auto scan = scan_records(**bytes);
   if (!scan) {
-    return tl::make_unexpected(damage_of(name, scan.error()));
+    return tl::make_unexpected(corruption_error(name, scan.error()));
   }
   if (scan->payloads.size() != 1) {
-    return tl::make_unexpected(FileError{name, "offset 0: the checksum does not match"});
+    return tl::make_unexpected(
+        FileError{name, "offset 0: the file does not contain exactly one valid record"});
   }
   auto value = wire::decode<Value>(scan->payloads.front());
   if (!value) {
@@ -78,7 +81,7 @@
 }  // namespace
 
 tl::expected<std::optional<DiskIdentity>, FileError> ReplicaStore::load_identity() {
-  return load_single<DiskIdentity>(files_, kIdentityFile);
+  return load_single_record<DiskIdentity>(files_, kIdentityFile);
 }
 
 FileResult ReplicaStore::save_identity(const DiskIdentity& identity) {
@@ -87,7 +90,7 @@
 
 tl::expected<consensus::RestoredState, FileError> ReplicaStore::load() {
   consensus::RestoredState state;
-  auto snapshot = load_single<consensus::Snapshot>(files_, kSnapshotFile);
+  auto snapshot = load_single_record<consensus::Snapshot>(files_, kSnapshotFile);
   if (!snapshot) {
     return tl::make_unexpected(snapshot.error());
   }
@@ -103,19 +106,20 @@
   }
   const auto scan = scan_records(**bytes);
   if (!scan) {
-    return tl::make_unexpected(damage_of(kLogFile, scan.error()));
+    return tl::make_unexpected(corruption_error(kLogFile, scan.error()));
   }
   for (const std::string& payload : scan->payloads) {
     const auto record = wire::decode<LogRecord>(payload);
-    if (!record || !replay(*record, state)) {
-      return tl::make_unexpected(FileError{kLogFile, "an entry does not follow the one before it"});
+    if (!record || !apply_record(*record, state)) {
+      return tl::make_unexpected(FileError{
+          kLogFile, "undecodable record, or an entry whose index does not follow the previous one"});
     }
   }
   log_bytes_ = scan->valid_length;
   hard_state_ = state.hard_state;
   if (scan->valid_length < (*bytes)->size()) {
-    if (const auto cut = files_.truncate(kLogFile, scan->valid_length); !cut) {
-      return tl::make_unexpected(cut.error());
+    if (const auto truncated = files_.truncate(kLogFile, scan->valid_length); !truncated) {
+      return tl::make_unexpected(truncated.error());
     }
   }
   return state;
@@ -155,7 +159,8 @@
 FileResult ReplicaStore::write_snapshot(const std::string& encoded_snapshot,
                                         const consensus::HardState& hard_state,
                                         const std::vector<consensus::Entry>& entries_after) {
-  // The snapshot goes first: until the log is replaced, its older entries are skipped by load().
+  // The snapshot is written first. If the process stops before the log is replaced, load() skips the entries
+  // that the snapshot covers.
   if (auto written = files_.replace(kSnapshotFile, make_record(encoded_snapshot)); !written) {
     return written;
   }
@@ -168,25 +173,25 @@
 }
 
 RestoredMember restore_member(ReplicaStore& store, const std::string& name) {
-  const auto fail = [](const FileError& error) {
+  const auto throw_error = [](const FileError& error) {
     throw std::runtime_error(error.path + ": " + error.message);
   };
   RestoredMember member;
   auto identity = store.load_identity();
   if (!identity) {
-    fail(identity.error());
+    throw_error(identity.error());
   }
   if (!identity->has_value()) {
     member.identity = DiskIdentity{seed_from_device() | 1U, name};
     if (const auto written = store.save_identity(member.identity); !written) {
-      fail(written.error());
+      throw_error(written.error());
     }
     return member;
   }
   member.identity = **identity;
   auto loaded = store.load();
   if (!loaded) {
-    fail(loaded.error());
+    throw_error(loaded.error());
   }
   member.state = std::move(*loaded);
   return member;
--- a/src/storage/replica_store.h
+++ b/src/storage/replica_store.h
@@ -1,4 +1,4 @@
-/// The durable state of one member of the replicated log: its identity, a snapshot, and a write-ahead log.
+/// The durable state of one member of the replicated log: its identity, a snapshot and a write-ahead log.
 #pragma once
 
 #include "src/consensus/replica.h"
@@ -6,15 +6,15 @@
 
 namespace stoat::storage {
 
-/// Who this disk belongs to. Written once; a disk without it is blank and gets a new identity.
+/// The member that a disk belongs to. Written once. A disk without an identity is blank and gets a new one.
 struct DiskIdentity {
   consensus::MemberId id = 0;
   std::string name;
   MSGPACK_DEFINE_ARRAY(id, name)
 };
 
-/// Reads and writes the files "identity", "snapshot" and "log" of a data folder.
-/// After a failed write nothing may be acknowledged any more: the owner must stop.
+/// Reads and writes the files "identity", "snapshot" and "log" of a data directory. After a failed write the
+/// owner must stop and must not acknowledge anything more.
 class ReplicaStore {
  public:
   explicit ReplicaStore(FileSystem& files) : files_(files) {}
@@ -23,16 +23,19 @@
   tl::expected<std::optional<DiskIdentity>, FileError> load_identity();
   FileResult save_identity(const DiskIdentity& identity);
 
-  /// All that survived. Cuts a torn tail; other damage is an error that names file and offset.
+  /// Restores the snapshot and the log. Truncates a torn tail of the log; other corruption is an error that
+  /// names the file and the offset.
   tl::expected<consensus::RestoredState, FileError> load();
 
-  /// Writes what an output demands, in one sync.
+  /// Makes the state changes of a replica's output durable. Syncs once, except when the output installs a
+  /// snapshot.
   FileResult write(const consensus::Output& output);
 
-  /// Replaces the snapshot and rewrites the log so that it holds only `entries_after`.
+  /// Replaces the snapshot, and rewrites the log to contain only `hard_state` and `entries_after`.
   FileResult write_snapshot(const std::string& encoded_snapshot, const consensus::HardState& hard_state,
                             const std::vector<consensus::Entry>& entries_after);
 
+  /// Size of the file "log" in bytes.
   uint64_t log_bytes() const { return log_bytes_; }
 
  private:
@@ -41,15 +44,15 @@
   consensus::HardState hard_state_;
 };
 
-/// A member as it starts: who it is, and what its disk held.
+/// Identity and state of a member at startup.
 struct RestoredMember {
   DiskIdentity identity;
   consensus::RestoredState state;
 };
 
-/// Loads a member's identity and state. A blank disk gets a new identity, which is written at once: it never
-/// comes back under one that may have voted. Throws std::runtime_error on damage, or when the identity can't
-/// be written.
+/// Loads a member's identity and state. On a blank disk, generates a new identity and writes it immediately,
+/// so that a member never restarts under an identity that may have voted before its disk was lost. Throws
+/// std::runtime_error on read errors and corruption, and if the identity can't be written.
 RestoredMember restore_member(ReplicaStore& store, const std::string& name);
 
 }  // namespace stoat::storage
