--- a/src/wire/channel.cc
+++ b/src/wire/channel.cc
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr size_t kLengthBytes = 4;
-/// A connection that can't be made, or takes nothing of what waits, for so long counts as cut off.
-constexpr timeval kWriteStall{10, 0};
+/// A connection that can't be established, or accepts none of the queued data, for this long is closed.
+constexpr timeval kWriteTimeout{10, 0};
 
 uint64_t next_channel_id() {
   static uint64_t last = 0;
@@ -44,16 +44,16 @@
   channel->on_message_ = std::move(on_message);
   channel->on_closed_ = std::move(on_closed);
   bufferevent_setcb(connection, &Channel::on_readable, nullptr, &Channel::on_event, channel.get());
-  bufferevent_set_timeouts(connection, nullptr, &kWriteStall);
+  bufferevent_set_timeouts(connection, nullptr, &kWriteTimeout);
   bufferevent_enable(connection, EV_READ | EV_WRITE);
   return channel;
 }
 
 std::shared_ptr<Channel> Channel::connect(EventLoop& loop, const Endpoint& endpoint,
                                           MessageHandler on_message, ClosedHandler on_closed) {
-  bufferevent* connection = http::connect_to(loop.base(), endpoint, kSilenceLimit);
+  bufferevent* connection = http::connect_to(loop.base(), endpoint, kUnacknowledgedTimeout);
   if (connection == nullptr) {
-    // As when the other side refuses: a channel that reports its end from the loop.
+    // Behave as if the peer had refused: return a channel whose closed handler is called from the loop.
     connection = bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     auto channel = adopt(connection, std::move(on_message), std::move(on_closed));
     bufferevent_trigger_event(connection, BEV_EVENT_ERROR, BEV_TRIG_DEFER_CALLBACKS);
@@ -75,7 +75,8 @@
     return;
   }
   if (unsent_bytes() > kMaxUnsentBytes) {
-    // Not now: the sender is not to find its channel closed by its own call.
+    // Close from the loop rather than here: a call of send_frame() must not close the channel under its
+    // caller.
     overflowed_ = true;
     bufferevent_trigger_event(connection_, BEV_EVENT_ERROR, BEV_TRIG_DEFER_CALLBACKS);
     return;
@@ -106,16 +107,16 @@
   if (connection_ == nullptr) {
     return;
   }
-  const std::shared_ptr<Channel> keep = shared_from_this();
+  const std::shared_ptr<Channel> this_channel = shared_from_this();
   const ClosedHandler handler = on_closed_;
   close();
   if (handler) {
-    handler(keep);
+    handler(this_channel);
   }
 }
 
 void Channel::read_frames() {
-  const std::shared_ptr<Channel> keep = shared_from_this();
+  const std::shared_ptr<Channel> this_channel = shared_from_this();
   evbuffer* input = bufferevent_get_input(connection_);
   while (connection_ != nullptr && evbuffer_get_length(input) >= kLengthBytes) {
     uint32_t length = 0;
@@ -137,7 +138,7 @@
       return;
     }
     const MessageHandler handler = on_message_;
-    handler(keep, std::move(*message));
+    handler(this_channel, std::move(*message));
   }
 }
 
@@ -160,15 +161,15 @@
   int length = sizeof(storage);
   const std::string text = to_string(endpoint);
   if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&storage), &length) != 0) {
-    throw std::runtime_error("bad address " + text);
+    throw std::runtime_error("malformed address " + text);
   }
   const auto on_accept = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* context) {
     auto* server = static_cast<ChannelServer*>(context);
     http::send_without_delay(socket);
-    http::limit_silence(socket, kSilenceLimit);
+    http::set_unacknowledged_timeout(socket, kUnacknowledgedTimeout);
     bufferevent* connection =
         bufferevent_socket_new(server->loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    server->keep(Channel::adopt(connection, server->on_message_, server->on_closed_));
+    server->track(Channel::adopt(connection, server->on_message_, server->on_closed_));
   };
   listener_ = evconnlistener_new_bind(loop.base(), on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                       -1, reinterpret_cast<sockaddr*>(&storage), length);
@@ -186,7 +187,7 @@
   }
 }
 
-void ChannelServer::keep(const std::shared_ptr<Channel>& channel) {
+void ChannelServer::track(const std::shared_ptr<Channel>& channel) {
   std::erase_if(accepted_, [](const std::weak_ptr<Channel>& accepted) { return accepted.expired(); });
   accepted_.push_back(channel);
 }
--- a/src/wire/channel.h
+++ b/src/wire/channel.h
@@ -1,5 +1,5 @@
-/// Framed connections between the system's processes: a 4-byte big-endian length, then one MessagePack
-/// message.
+/// Framed connections between the processes of the system. A frame is a 4-byte big-endian length followed by
+/// one MessagePack message.
 #pragma once
 
 #include <functional>
@@ -18,46 +18,46 @@
 
 namespace stoat::wire {
 
-/// The largest frame that is accepted, in bytes. A longer one closes the connection.
+/// Largest accepted message in bytes, without its length prefix. A longer one closes the connection.
 inline constexpr uint32_t kMaxFrameBytes = 64U << 20U;
 
-/// The most that may wait to be written on a connection, in bytes, before it counts as cut off and is closed.
-/// A message that finds less waiting is still taken whole.
+/// Limit in bytes for data queued on a connection. Sending while more than this is queued closes the
+/// connection. The message that exceeds the limit is still queued as a whole.
 inline constexpr size_t kMaxUnsentBytes = 16U << 20U;
 
-/// How long what was sent may go unacknowledged before a connection counts as cut off and is closed.
-inline constexpr Duration kSilenceLimit = 1500ms;
+/// How long sent data may stay unacknowledged before the connection is closed.
+inline constexpr Duration kUnacknowledgedTimeout = 1500ms;
 
-/// A message as it is sent, and what its bytes are for.
+/// An encoded message, and its bytes by purpose.
 struct Frame {
   std::string bytes;
   PurposeBytes purposes;
   bool empty() const { return bytes.empty(); }
 };
 
-/// One frame for a message.
+/// Encodes a message as a frame.
 Frame make_frame(const Message& message);
 
-/// One connection. Owned through shared_ptr; closing is final.
+/// One connection. A channel keeps itself alive until it is closed. A closed channel can't be reopened.
 class Channel : public std::enable_shared_from_this<Channel> {
  public:
   using MessageHandler = std::function<void(const std::shared_ptr<Channel>&, Message)>;
   using ClosedHandler = std::function<void(const std::shared_ptr<Channel>&)>;
 
-  /// Takes over a connected or connecting bufferevent.
+  /// Takes ownership of a connected or connecting bufferevent.
   static std::shared_ptr<Channel> adopt(bufferevent* connection, MessageHandler on_message,
                                         ClosedHandler on_closed);
-  /// Starts to connect; messages sent meanwhile are queued.
+  /// Starts connecting. Messages sent before the connection is established are queued.
   static std::shared_ptr<Channel> connect(EventLoop& loop, const Endpoint& endpoint,
                                           MessageHandler on_message, ClosedHandler on_closed);
   ~Channel();
 
-  /// Queues a message. Does nothing on a closed channel. One that finds more than kMaxUnsentBytes waiting is
-  /// dropped, and the channel is closed soon after, with its closed handler.
+  /// Queues a message. Does nothing on a closed channel. If more than kMaxUnsentBytes are already queued,
+  /// drops the message; the event loop then closes the channel and calls its closed handler.
   void send(const Message& message);
-  /// The same with a frame that make_frame() has made, which may go to many channels.
+  /// Like send(), for a frame from make_frame(). A frame may be sent on many channels.
   void send_frame(const Frame& frame);
-  /// Counts what is sent from now on, as sent over this distance.
+  /// Sets the meter that counts all data sent from now on, as sent over `distance`.
   void set_meter(std::shared_ptr<TrafficMeter> meter, topology::Distance distance) {
     meter_ = std::move(meter);
     distance_ = distance;
@@ -68,8 +68,7 @@
   bool open() const { return connection_ != nullptr; }
   uint64_t id() const { return id_; }
   uint64_t sent_bytes() const { return sent_bytes_; }
-  /// Bytes that wait to be written, because the other side does not take them or the connection is not made
-  /// yet.
+  /// Bytes queued because the peer does not read fast enough or the connection is not established yet.
   size_t unsent_bytes() const;
 
  private:
@@ -82,15 +81,15 @@
   bufferevent* connection_ = nullptr;
   uint64_t id_ = 0;
   uint64_t sent_bytes_ = 0;
-  bool overflowed_ = false;  ///< more was to be sent than kMaxUnsentBytes; about to be closed
+  bool overflowed_ = false;  ///< kMaxUnsentBytes was exceeded; the loop is about to close the channel
   std::shared_ptr<TrafficMeter> meter_;
   topology::Distance distance_ = topology::Distance::kSameZone;
-  std::shared_ptr<Channel> self_;
+  std::shared_ptr<Channel> self_;  ///< keeps the channel alive until it is closed
   MessageHandler on_message_;
   ClosedHandler on_closed_;
 };
 
-/// Closes the channels of a map, for owners that go away.
+/// Closes the channels of a map without calling their closed handlers.
 template <typename Key>
 void close_all(const std::map<Key, std::shared_ptr<Channel>>& channels) {
   for (const auto& [key, channel] : channels) {
@@ -100,24 +99,25 @@
   }
 }
 
-/// Listens for channels.
+/// Accepts channels on one address.
 class ChannelServer {
  public:
-  /// Throws std::runtime_error when the address can't be bound.
+  /// Throws std::runtime_error if the address is malformed or can't be bound.
   ChannelServer(EventLoop& loop, const Endpoint& endpoint, Channel::MessageHandler on_message,
                 Channel::ClosedHandler on_closed);
   ~ChannelServer();
   ChannelServer(const ChannelServer&) = delete;
   ChannelServer& operator=(const ChannelServer&) = delete;
-  /// Stops taking new connections.
+  /// Stops accepting new connections.
   void stop_listening();
 
  private:
-  void keep(const std::shared_ptr<Channel>& channel);
+  /// Records an accepted channel, so that the destructor can close it.
+  void track(const std::shared_ptr<Channel>& channel);
 
   EventLoop& loop_;
   evconnlistener* listener_ = nullptr;
-  std::vector<std::weak_ptr<Channel>> accepted_;  ///< closed with the server
+  std::vector<std::weak_ptr<Channel>> accepted_;  ///< closed by the destructor
   Channel::MessageHandler on_message_;
   Channel::ClosedHandler on_closed_;
 };
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,4 @@
-/// MessagePack encoding of typed messages, and of variants as [alternative index, value].
+/// MessagePack encoding of typed messages. A variant is encoded as [alternative index, value].
 #pragma once
 
 #include <msgpack.hpp>
@@ -9,15 +9,15 @@
 
 namespace stoat::wire {
 
-/// Why bytes could not be read as a message.
+/// Why bytes could not be decoded.
 struct CodecError {
   std::string message;
 };
 
-/// How deep the lists of a message may be nested.
+/// Maximum nesting depth of the lists in a message.
 inline constexpr size_t kMaxDepth = 64;
 
-/// Encodes a value that defines MSGPACK_DEFINE_ARRAY (or is a standard type).
+/// Encodes a value of a standard type or a type with MSGPACK_DEFINE_ARRAY.
 template <typename Value>
 std::string encode(const Value& value) {
   msgpack::sbuffer buffer;
@@ -30,13 +30,14 @@
 tl::expected<Value, CodecError> decode(std::string_view bytes) {
   try {
     size_t offset = 0;
-    // Every element takes a byte or more: a longer list is a lie, and memory would be taken for it first.
+    // Every element takes at least one byte. Without these limits, memory would be allocated for the claimed
+    // length of a list before its elements are read.
     const msgpack::unpack_limit limit(bytes.size(), bytes.size(), bytes.size(), bytes.size(), bytes.size(),
                                       kMaxDepth);
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limit);
     if (offset != bytes.size()) {
-      return tl::make_unexpected(CodecError{"bytes follow the message"});
+      return tl::make_unexpected(CodecError{"unexpected bytes after the message"});
     }
     return handle.get().as<Value>();
   } catch (const std::exception& error) {
@@ -44,7 +45,7 @@
   }
 }
 
-/// A variant with a MessagePack form: [index, value]. New alternatives go at the end.
+/// A variant that is encoded as [index, value]. New alternatives must be added at the end.
 template <typename... Alternatives>
 struct Packed {
   using Variant = std::variant<Alternatives...>;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,4 +1,4 @@
-/// Typed messages between the system's own processes.
+/// Typed messages between the processes of the system.
 #pragma once
 
 #include <string>
@@ -10,17 +10,17 @@
 
 namespace stoat::wire {
 
-/// Control member to the leader: propose a command.
+/// From a control member to the leader: proposes a command.
 struct ControlCall {
   uint64_t call_id = 0;
   control::Command command;
   MSGPACK_DEFINE_ARRAY(call_id, command)
 };
 
-/// Why a control call got no result.
+/// Outcome of a control call.
 enum class CallStatus : uint8_t { kDone, kNotLeader, kUnavailable };
 
-/// Leader to control member: how the call ended.
+/// From the leader to a control member: the outcome of its call.
 struct ControlAnswer {
   uint64_t call_id = 0;
   CallStatus status = CallStatus::kDone;
@@ -28,19 +28,19 @@
   MSGPACK_DEFINE_ARRAY(call_id, status, result)
 };
 
-/// Control member to control member.
+/// From one control member to another: a consensus message.
 struct PeerMessage {
   consensus::Message message;
   MSGPACK_DEFINE_ARRAY(message)
 };
 
-/// Control member that is in no member list to its peers: I ask to be taken in.
+/// From a control member that is not in the member list to its peers: requests to be added.
 struct JoinRequest {
   consensus::Member member;
   MSGPACK_DEFINE_ARRAY(member)
 };
 
-/// Any message. New alternatives go at the end.
+/// Any message. New alternatives must be added at the end.
 using Message =
     Packed<ControlCall, ControlAnswer, PeerMessage, JoinRequest, fleet::RouterStatus, fleet::FleetUpdate,
            fleet::PeerNews, fleet::ConfirmedRead, fleet::ConfirmedReadAnswer, fleet::MemberAddresses,
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -7,21 +7,24 @@
 
 namespace {
 
-constexpr std::array<const char*, kPurposes> kPurposeNames = {
+constexpr std::array<const char*, kPurposeCount> kPurposeNames = {
     "log",   "confirmations", "calls",      "statuses", "updates", "backends", "heartbeats", "routers",
     "loads", "caches",        "placements", "spending", "levels",  "wholes",   "other"};
 
-const char* name_of(size_t distance) { return topology::to_text(static_cast<topology::Distance>(distance)); }
+const char* distance_label(size_t distance) {
+  return topology::to_text(static_cast<topology::Distance>(distance));
+}
 
-/// Takes the place of a buffer, and only counts.
+/// Replaces an output buffer and only counts the bytes written.
 struct CountingBuffer {
   size_t bytes = 0;
   void write(const char*, size_t length) { bytes += length; }
 };
 
-/// Bytes of a list as part of a message; its head, a byte or so, is left to the message.
+/// Encoded size of a list in bytes; 0 if it is empty, because the byte or so of an empty list's header is
+/// counted as part of the message.
 template <typename Value>
-uint64_t size_of(const std::vector<Value>& list) {
+uint64_t encoded_size(const std::vector<Value>& list) {
   if (list.empty()) {
     return 0;
   }
@@ -30,35 +33,37 @@
   return buffer.bytes;
 }
 
-void divide(const fleet::PeerNews& news, PurposeBytes& bytes) {
-  if (news.anew) {
+/// Counts the parts of a message under their purposes. The caller assigns the remaining bytes.
+void split_bytes(const fleet::PeerNews& update, PurposeBytes& bytes) {
+  if (update.anew) {
     return;
   }
-  bytes[Purpose::kBackends] = size_of(news.heartbeats) + size_of(news.engines) + size_of(news.unreachable);
-  bytes[Purpose::kHeartbeats] = size_of(news.marks) + size_of(news.questions);
-  bytes[Purpose::kRouters] = size_of(news.routers);
-  bytes[Purpose::kLoads] = size_of(news.loads) + size_of(news.limits);
-  bytes[Purpose::kCaches] = size_of(news.caches) + size_of(news.shared_parts);
-  bytes[Purpose::kPlacements] = size_of(news.placements);
-  bytes[Purpose::kSpending] = size_of(news.spending) + size_of(news.windows);
+  bytes[Purpose::kBackends] =
+      encoded_size(update.heartbeats) + encoded_size(update.engines) + encoded_size(update.unreachable);
+  bytes[Purpose::kHeartbeats] = encoded_size(update.marks) + encoded_size(update.questions);
+  bytes[Purpose::kRouters] = encoded_size(update.routers);
+  bytes[Purpose::kLoads] = encoded_size(update.loads) + encoded_size(update.limits);
+  bytes[Purpose::kCaches] = encoded_size(update.caches) + encoded_size(update.shared_parts);
+  bytes[Purpose::kPlacements] = encoded_size(update.placements);
+  bytes[Purpose::kQuotaUsage] = encoded_size(update.spending) + encoded_size(update.windows);
 }
 
-void divide(const fleet::FleetNews& news, PurposeBytes& bytes) {
-  bytes[Purpose::kBackends] = size_of(news.backends) + size_of(news.gone);
-  bytes[Purpose::kLoads] = size_of(news.loads) + size_of(news.limits);
-  bytes[Purpose::kCaches] = size_of(news.caches);
-  bytes[Purpose::kPlacements] = size_of(news.placements);
-  bytes[Purpose::kLevels] = size_of(news.quotas);
+void split_bytes(const fleet::FleetNews& update, PurposeBytes& bytes) {
+  bytes[Purpose::kBackends] = encoded_size(update.backends) + encoded_size(update.gone);
+  bytes[Purpose::kLoads] = encoded_size(update.loads) + encoded_size(update.limits);
+  bytes[Purpose::kCaches] = encoded_size(update.caches);
+  bytes[Purpose::kPlacements] = encoded_size(update.placements);
+  bytes[Purpose::kQuotaLevels] = encoded_size(update.quotas);
 }
 
-void divide(const fleet::RouterLoads& loads, PurposeBytes& bytes) {
-  bytes[Purpose::kLoads] = size_of(loads.loads) + size_of(loads.limits);
-  bytes[Purpose::kBackends] = size_of(loads.unreachable);
-  bytes[Purpose::kSpending] = size_of(loads.spending);
+void split_bytes(const fleet::RouterLoads& loads, PurposeBytes& bytes) {
+  bytes[Purpose::kLoads] = encoded_size(loads.loads) + encoded_size(loads.limits);
+  bytes[Purpose::kBackends] = encoded_size(loads.unreachable);
+  bytes[Purpose::kQuotaUsage] = encoded_size(loads.spending);
 }
 
 template <typename Alternative>
-void divide(const Alternative&, PurposeBytes&) {}
+void split_bytes(const Alternative&, PurposeBytes&) {}
 
 Purpose purpose_of(const Message& message) {
   return std::visit(
@@ -66,7 +71,7 @@
         using Type = std::decay_t<decltype(alternative)>;
         if constexpr (std::is_same_v<Type, PeerMessage> || std::is_same_v<Type, JoinRequest> ||
                       std::is_same_v<Type, fleet::MemberAddresses>) {
-          return Purpose::kLog;
+          return Purpose::kReplication;
         } else if constexpr (std::is_same_v<Type, fleet::ConfirmationQuestion> ||
                              std::is_same_v<Type, fleet::ConfirmationAnswer>) {
           return Purpose::kConfirmations;
@@ -100,7 +105,7 @@
 
 std::string PurposeBytes::to_text() const {
   std::string text;
-  for (size_t position = 0; position < kPurposes; ++position) {
+  for (size_t position = 0; position < kPurposeCount; ++position) {
     if (bytes_[position] > 0) {
       text += text.empty() ? "" : " ";
       text += std::string(kPurposeNames[position]) + "=" + std::to_string(bytes_[position]);
@@ -111,40 +116,41 @@
 
 PurposeBytes bytes_by_purpose(const Message& message, size_t frame_bytes) {
   PurposeBytes bytes;
-  std::visit([&](const auto& alternative) { divide(alternative, bytes); }, message.value);
-  const auto* news = std::get_if<fleet::PeerNews>(&message.value);
-  const Purpose rest = news != nullptr && news->anew ? Purpose::kWholes : purpose_of(message);
-  bytes[rest] += frame_bytes - std::min<uint64_t>(frame_bytes, bytes.total());
+  std::visit([&](const auto& alternative) { split_bytes(alternative, bytes); }, message.value);
+  const auto* update = std::get_if<fleet::PeerNews>(&message.value);
+  const Purpose remainder_purpose =
+      update != nullptr && update->anew ? Purpose::kFullStates : purpose_of(message);
+  bytes[remainder_purpose] += frame_bytes - std::min<uint64_t>(frame_bytes, bytes.total());
   return bytes;
 }
 
 void TrafficMeter::publish(Metrics& metrics, const std::string& counter) {
-  for (size_t distance = 0; distance < kDistances; ++distance) {
-    for (size_t position = 0; position < kPurposes; ++position) {
+  for (size_t distance = 0; distance < kDistanceCount; ++distance) {
+    for (size_t position = 0; position < kPurposeCount; ++position) {
       const auto purpose = static_cast<Purpose>(position);
-      const uint64_t added = sums_[distance][purpose] - published_[distance][purpose];
+      const uint64_t added = totals_[distance][purpose] - published_[distance][purpose];
       if (added > 0) {
-        metrics.count(counter, {{"kind", kPurposeNames[position]}, {"distance", name_of(distance)}},
+        metrics.count(counter, {{"kind", kPurposeNames[position]}, {"distance", distance_label(distance)}},
                       static_cast<double>(added));
       }
     }
   }
-  published_ = sums_;
+  published_ = totals_;
 }
 
 std::vector<TrafficMeter::Line> TrafficMeter::take_lines() {
   std::vector<Line> lines;
-  for (size_t distance = 0; distance < kDistances; ++distance) {
-    PurposeBytes since;
-    for (size_t position = 0; position < kPurposes; ++position) {
+  for (size_t distance = 0; distance < kDistanceCount; ++distance) {
+    PurposeBytes unlogged;
+    for (size_t position = 0; position < kPurposeCount; ++position) {
       const auto purpose = static_cast<Purpose>(position);
-      since[purpose] = sums_[distance][purpose] - logged_[distance][purpose];
+      unlogged[purpose] = totals_[distance][purpose] - logged_[distance][purpose];
     }
-    if (since.total() > 0) {
-      lines.push_back({name_of(distance), since.to_text()});
+    if (unlogged.total() > 0) {
+      lines.push_back({distance_label(distance), unlogged.to_text()});
     }
   }
-  logged_ = sums_;
+  logged_ = totals_;
   return lines;
 }
 
--- a/src/wire/traffic.h
+++ b/src/wire/traffic.h
@@ -1,5 +1,5 @@
-/// What the connections between the system's own processes carry: bytes by purpose and by distance, for
-/// metrics and for the log. Free of I/O.
+/// Accounting of the traffic between the processes of the system, by purpose and by network distance, for
+/// metrics and the log. Does no I/O.
 #pragma once
 
 #include <array>
@@ -13,27 +13,27 @@
 
 namespace stoat::wire {
 
-/// What bytes are sent for.
+/// The purpose of sent bytes. to_text() gives the label of each.
 enum class Purpose : uint8_t {
-  kLog,            ///< replication and elections
-  kConfirmations,  ///< questions for the leader's last confirmation, and answers
-  kCalls,          ///< commands and reads that go to the leader
-  kStatuses,       ///< routers' states
-  kUpdates,        ///< configurations, retirements, confirmations for routers
-  kBackends,       ///< records of back ends
-  kHeartbeats,     ///< marks that a known back end lives
-  kRouters,        ///< routers that came, changed or went
-  kLoads,          ///< requests under way
-  kCaches,         ///< what caches hold
-  kPlacements,     ///< prompts just read
-  kSpending,       ///< of tenants with a quota
-  kLevels,         ///< of their quotas
-  kWholes,         ///< all that a member knows, for one that lacks it
-  kOther,          ///< heads of messages, and all else
+  kReplication,    ///< log replication and leader elections
+  kConfirmations,  ///< queries for the age of the leader's last quorum confirmation, and answers
+  kCalls,          ///< commands and reads sent to the leader
+  kStatuses,       ///< states of routers
+  kUpdates,        ///< configurations, backend retirements and confirmations for routers
+  kBackends,       ///< backend records
+  kHeartbeats,     ///< signs that a known backend is alive
+  kRouters,        ///< routers that joined, changed or left
+  kLoads,          ///< requests in flight
+  kCaches,         ///< contents of KV caches
+  kPlacements,     ///< prompts that backends have just read
+  kQuotaUsage,     ///< quota usage of tenants
+  kQuotaLevels,    ///< quota levels of tenants
+  kFullStates,     ///< the full state of a member, for a peer that lacks it
+  kOther,          ///< message headers and everything else
 };
 
 /// Number of purposes.
-inline constexpr size_t kPurposes = static_cast<size_t>(Purpose::kOther) + 1;
+inline constexpr size_t kPurposeCount = static_cast<size_t>(Purpose::kOther) + 1;
 
 /// The label of a purpose in metrics and logs.
 const char* to_text(Purpose purpose);
@@ -45,38 +45,39 @@
   uint64_t operator[](Purpose purpose) const { return bytes_[static_cast<size_t>(purpose)]; }
   PurposeBytes& operator+=(const PurposeBytes& other);
   uint64_t total() const;
-  /// "loads=812 caches=90", without those that have none.
+  /// Formats the counts as "loads=812 caches=90"; purposes without bytes are omitted.
   std::string to_text() const;
 
  private:
-  std::array<uint64_t, kPurposes> bytes_{};
+  std::array<uint64_t, kPurposeCount> bytes_{};
 };
 
-/// Divides a message of `frame_bytes` over what it is for.
+/// Splits the `frame_bytes` bytes of an encoded message by purpose.
 PurposeBytes bytes_by_purpose(const Message& message, size_t frame_bytes);
 
-/// What one process has sent to others of the system.
+/// Counts the bytes that one process sends to other processes of the system.
 class TrafficMeter {
  public:
-  void count(const PurposeBytes& bytes, topology::Distance distance) { sums_[index(distance)] += bytes; }
+  void count(const PurposeBytes& bytes, topology::Distance distance) { totals_[index(distance)] += bytes; }
   uint64_t sent(Purpose purpose, topology::Distance distance) const {
-    return sums_[index(distance)][purpose];
+    return totals_[index(distance)][purpose];
   }
-  /// Adds what was counted since the last call to a counter with the labels `kind` and `distance`.
+  /// Adds the bytes counted since the last call to a metrics counter, with the labels `kind` and `distance`.
   void publish(Metrics& metrics, const std::string& counter);
-  /// What was sent since the last call, a line for each distance that has something.
+  /// Bytes sent over one distance.
   struct Line {
     const char* distance = "";
-    std::string bytes;  ///< PurposeBytes::to_text
+    std::string bytes;  ///< as formatted by PurposeBytes::to_text()
   };
+  /// Returns the bytes sent since the last call, one line per distance with any.
   std::vector<Line> take_lines();
 
  private:
-  static constexpr size_t kDistances = 3;
+  static constexpr size_t kDistanceCount = 3;
   static size_t index(topology::Distance distance) { return static_cast<size_t>(distance); }
-  std::array<PurposeBytes, kDistances> sums_;
-  std::array<PurposeBytes, kDistances> published_;
-  std::array<PurposeBytes, kDistances> logged_;
+  std::array<PurposeBytes, kDistanceCount> totals_;
+  std::array<PurposeBytes, kDistanceCount> published_;
+  std::array<PurposeBytes, kDistanceCount> logged_;
 };
 
 }  // namespace stoat::wire
--- a/tests/unit/channel_test.cc
+++ b/tests/unit/channel_test.cc
@@ -1,4 +1,4 @@
-// Channels between processes whose other side is cut off in silence.
+// Channels whose peer stops reading or becomes unreachable without closing the connection.
 #include "src/wire/channel.h"
 
 #include <arpa/inet.h>
@@ -10,7 +10,7 @@
 namespace stoat::wire {
 namespace {
 
-/// A listening socket whose owner never takes or reads anything.
+/// A listening socket that never reads from its connections, and accepts them only on request.
 class SilentListener {
  public:
   SilentListener() : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -40,12 +40,12 @@
   Endpoint endpoint_;
 };
 
-constexpr size_t kPieceBytes = 64 << 10;
+constexpr size_t kMessageBytes = 64 << 10;
 
-fleet::ConfirmedReadAnswer large_piece() {
-  fleet::ConfirmedReadAnswer piece;
-  piece.source = std::string(kPieceBytes, 'x');
-  return piece;
+fleet::ConfirmedReadAnswer large_message() {
+  fleet::ConfirmedReadAnswer message;
+  message.source = std::string(kMessageBytes, 'x');
+  return message;
 }
 
 TEST(ChannelTest, AChannelToASilentPeerIsClosedInsteadOfGrowingWithoutBound) {
@@ -58,22 +58,22 @@
         closed = true;
         loop.stop();
       });
-  constexpr size_t kPieces = 2000;  // 128 MB
-  size_t most_unsent = 0;
+  constexpr size_t kMaxMessages = 2000;  // 128 MB, far more than kMaxUnsentBytes
+  size_t max_unsent = 0;
   size_t sent = 0;
   loop.every(1ms, [&] {
     for (size_t burst = 0; burst < 20; ++burst) {
-      channel->send(large_piece());
-      most_unsent = std::max(most_unsent, channel->unsent_bytes());
+      channel->send(large_message());
+      max_unsent = std::max(max_unsent, channel->unsent_bytes());
     }
     sent += 20;
-    if (sent >= kPieces) {
+    if (sent >= kMaxMessages) {
       loop.stop();
     }
   });
   loop.run();
   EXPECT_TRUE(closed);
-  EXPECT_LE(most_unsent, kMaxUnsentBytes + 2 * kPieceBytes);
+  EXPECT_LE(max_unsent, kMaxUnsentBytes + 2 * kMessageBytes);
   channel->close();
 }
 
@@ -91,13 +91,13 @@
     peer = listener.accept_connection(1s);
     ASSERT_GE(peer, 0);
     while (channel->unsent_bytes() <= kMaxUnsentBytes) {
-      channel->send(large_piece());
+      channel->send(large_message());
     }
-    channel->send(large_piece());  // exceeds the limit and schedules a deferred error callback
+    channel->send(large_message());  // exceeds the limit and schedules a deferred error callback
     channel->close();
   }
   ssize_t received = 0;
-  std::vector<char> bytes(kPieceBytes);
+  std::vector<char> bytes(kMessageBytes);
   do {
     received = ::recv(peer, bytes.data(), bytes.size(), 0);
   } while (received > 0);
--- a/tests/unit/codec_test.cc
+++ b/tests/unit/codec_test.cc
@@ -1,4 +1,4 @@
-// Bytes that are no message.
+// Decoding of malformed messages.
 #include <gtest/gtest.h>
 
 #include "src/wire/messages.h"
@@ -6,7 +6,7 @@
 namespace stoat::wire {
 namespace {
 
-TEST(CodecTest, AListThatClaimsMoreElementsThanThereAreBytesIsRefusedBeforeMemoryIsTaken) {
+TEST(CodecTest, AListThatClaimsMoreElementsThanBytesIsRejectedBeforeAllocation) {
   const std::string bytes("\xdd\xda\x8a\xff\x72\x9f\xa4", 7);
   const auto message = decode<Message>(bytes);
   ASSERT_FALSE(message.has_value());
@@ -14,7 +14,7 @@
       << message.error().message;
 }
 
-TEST(CodecTest, ListsNestedWithoutEndAreRefused) {
+TEST(CodecTest, TooDeeplyNestedListsAreRejected) {
   const auto message = decode<Message>(std::string(100000, '\x91'));
   ASSERT_FALSE(message.has_value());
   EXPECT_NE(message.error().message.find("depth"), std::string::npos) << message.error().message;
--- a/tests/unit/traffic_test.cc
+++ b/tests/unit/traffic_test.cc
@@ -1,4 +1,4 @@
-/// What connections carry, by purpose and by distance.
+/// Accounting of traffic by purpose and by distance.
 #include "src/wire/traffic.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 using wire::Purpose;
 using wire::PurposeBytes;
 
-fleet::BackendRecord engine(const std::string& id) {
+fleet::BackendRecord backend_record(const std::string& id) {
   fleet::BackendRecord record;
   record.id = id;
   record.address = id + ":1";
@@ -20,47 +20,47 @@
   return record;
 }
 
-TEST(Traffic, NewsAreDividedByPurposeAndAddUpToTheFrame) {
-  fleet::PeerNews news;
-  news.sender = "10.0.0.1:7";
-  news.heartbeats = {engine("e1"), engine("e2")};
-  news.loads = {{"e1", 3, 100}};
-  news.placements = {{"e1", 1, {1, 2, 3}}};
-  const wire::Frame frame = wire::make_frame(news);
+TEST(Traffic, BytesOfAPeerUpdateAreSplitByPurposeAndAddUpToTheFrame) {
+  fleet::PeerNews update;
+  update.sender = "10.0.0.1:7";
+  update.heartbeats = {backend_record("e1"), backend_record("e2")};
+  update.loads = {{"e1", 3, 100}};
+  update.placements = {{"e1", 1, {1, 2, 3}}};
+  const wire::Frame frame = wire::make_frame(update);
   EXPECT_EQ(frame.purposes.total(), frame.bytes.size());
   EXPECT_GT(frame.purposes[Purpose::kBackends], frame.purposes[Purpose::kLoads]);
   EXPECT_GT(frame.purposes[Purpose::kLoads], 0U);
   EXPECT_GT(frame.purposes[Purpose::kPlacements], 0U);
-  EXPECT_EQ(frame.purposes[Purpose::kWholes], 0U);
+  EXPECT_EQ(frame.purposes[Purpose::kFullStates], 0U);
 }
 
-TEST(Traffic, AWholeCountsAsOne) {
-  fleet::PeerNews news;
-  news.anew = true;
-  news.heartbeats = {engine("e1")};
-  const wire::Frame frame = wire::make_frame(news);
-  EXPECT_EQ(frame.purposes[Purpose::kWholes], frame.bytes.size());
+TEST(Traffic, AFullStateUpdateIsCountedUnderOnePurpose) {
+  fleet::PeerNews update;
+  update.anew = true;
+  update.heartbeats = {backend_record("e1")};
+  const wire::Frame frame = wire::make_frame(update);
+  EXPECT_EQ(frame.purposes[Purpose::kFullStates], frame.bytes.size());
 }
 
-TEST(Traffic, TheFeedOfARouterIsDividedToo) {
-  fleet::FleetNews news;
-  news.backends = {engine("e1")};
-  news.loads = {{"e1", 3, 100}};
-  news.quotas = {{"t1", 5, true}};
-  const PurposeBytes purposes = wire::make_frame(news).purposes;
+TEST(Traffic, BytesOfARouterUpdateAreSplitByPurpose) {
+  fleet::FleetNews update;
+  update.backends = {backend_record("e1")};
+  update.loads = {{"e1", 3, 100}};
+  update.quotas = {{"t1", 5, true}};
+  const PurposeBytes purposes = wire::make_frame(update).purposes;
   EXPECT_GT(purposes[Purpose::kBackends], purposes[Purpose::kLoads]);
-  EXPECT_GT(purposes[Purpose::kLevels], 0U);
+  EXPECT_GT(purposes[Purpose::kQuotaLevels], 0U);
 }
 
-TEST(Traffic, AMeterKeepsDistancesApartAndTellsDifferences) {
+TEST(Traffic, AMeterCountsPerDistanceAndPublishesIncrements) {
   wire::TrafficMeter meter;
   PurposeBytes log;
-  log[Purpose::kLog] = 40;
+  log[Purpose::kReplication] = 40;
   meter.count(log, Distance::kSameZone);
   meter.count(log, Distance::kOtherRegion);
   meter.count(log, Distance::kOtherRegion);
-  EXPECT_EQ(meter.sent(Purpose::kLog, Distance::kOtherRegion), 80U);
-  EXPECT_EQ(meter.sent(Purpose::kLog, Distance::kSameRegion), 0U);
+  EXPECT_EQ(meter.sent(Purpose::kReplication, Distance::kOtherRegion), 80U);
+  EXPECT_EQ(meter.sent(Purpose::kReplication, Distance::kSameRegion), 0U);
   const auto lines = meter.take_lines();
   ASSERT_EQ(lines.size(), 2U);
   EXPECT_EQ(lines[1].bytes, "log=80");
