--- a/tests/fuzz/parsers_fuzz.cc
+++ b/tests/fuzz/parsers_fuzz.cc
@@ -1,5 +1,5 @@
-// libFuzzer target for every parser that meets the outside. The first byte picks the parser. Built by the
-// fuzz preset.
+// libFuzzer target for all parsers of external input. The first byte selects the parser. Built by the fuzz
+// preset.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/tests/property/input_property_test.cc
+++ b/tests/property/input_property_test.cc
@@ -1,5 +1,5 @@
-// Input from outside: whatever the bytes, a parser reports findings or a value; it never crashes or loses its
-// place.
+// Parsers of external input: for any bytes, a parser returns a value or reports errors. It never crashes and
+// never loses its position in a stream.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace stoat {
 namespace {
 
-RC_GTEST_PROP(SettingsProperty, SurvivesAnyOverride, (const std::string& text)) {
+RC_GTEST_PROP(SettingsProperty, AcceptsAnyOverride, (const std::string& text)) {
   Findings findings;
   SettingsReader reader = SettingsReader::load("", {text}, findings);
   reader.integer("number", 1, 0, 10);
@@ -23,21 +23,21 @@
   RC_ASSERT(message.has_value() || !message.error().message.empty());
 }
 
-RC_GTEST_PROP(CodecProperty, DecodingACutOrChangedMessageNeverCrashes, (uint64_t call_id)) {
+RC_GTEST_PROP(CodecProperty, DecodingATruncatedOrChangedMessageNeverCrashes, (uint64_t call_id)) {
   wire::ControlCall call;
   call.call_id = call_id;
   call.command = fleet::NameWeights{*rc::gen::nonEmpty(rc::gen::string<std::string>()), 7};
   std::string bytes = wire::encode(wire::Message(call));
-  const auto back = wire::decode<wire::Message>(bytes);
-  RC_ASSERT(back.has_value());
-  RC_ASSERT(std::get<wire::ControlCall>(back->value).call_id == call_id);
+  const auto decoded = wire::decode<wire::Message>(bytes);
+  RC_ASSERT(decoded.has_value());
+  RC_ASSERT(std::get<wire::ControlCall>(decoded->value).call_id == call_id);
   const auto position = *rc::gen::inRange<size_t>(0, bytes.size());
   bytes[position] = static_cast<char>(*rc::gen::inRange(0, 256));
   (void)wire::decode<wire::Message>(bytes);
   (void)wire::decode<wire::Message>(std::string_view(bytes).substr(0, position));
 }
 
-RC_GTEST_PROP(EventSplitterProperty, AStreamReadsTheSameHoweverItIsCut, ()) {
+RC_GTEST_PROP(EventSplitterProperty, EventsDoNotDependOnHowTheStreamIsSplit, ()) {
   std::string stream;
   const auto count = *rc::gen::inRange(1, 20);
   for (int index = 0; index < count; ++index) {
@@ -61,14 +61,14 @@
   RC_ASSERT(splitter.pending() == 0U);
 }
 
-RC_GTEST_PROP(EventSplitterProperty, SurvivesAnyBytesAndLosesNone, (const std::string& bytes)) {
+RC_GTEST_PROP(EventSplitterProperty, AcceptsAnyBytesAndLosesNone, (const std::string& bytes)) {
   delivery::EventSplitter splitter;
-  size_t whole = 0;
-  splitter.feed(bytes, [&](const delivery::StreamEvent& event) { whole += event.bytes.size(); });
-  RC_ASSERT(whole + splitter.pending() == bytes.size());
+  size_t event_bytes = 0;
+  splitter.feed(bytes, [&](const delivery::StreamEvent& event) { event_bytes += event.bytes.size(); });
+  RC_ASSERT(event_bytes + splitter.pending() == bytes.size());
 }
 
-RC_GTEST_PROP(FleetBodiesProperty, SurviveAnyBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(FleetBodiesProperty, AcceptAnyBytes, (const std::string& bytes)) {
   Findings findings;
   const bool read = control::read_configuration(bytes, {}, findings).has_value();
   RC_ASSERT(read == findings.empty());
@@ -78,7 +78,7 @@
   (void)control::read_cache_events(bytes, {});
 }
 
-RC_GTEST_PROP(FleetBodiesProperty, SurviveAWholeDocumentWithAChangedByte, ()) {
+RC_GTEST_PROP(FleetBodiesProperty, AcceptADocumentWithOneChangedByte, ()) {
   std::string document =
       R"({"version":3,"routes":[{"name":"r","host":"h","path_prefix":"/a/","kind":"safe","timeout_ms":9,)"
       R"("service":"s"}],"services":[{"name":"s","engine":{"slots":4,"models":[{"name":"m"}]}}],)"
