--- a/src/http/client.h
+++ b/src/http/client.h
@@ -33,8 +33,8 @@
 struct ClientResult {
   int status = 0;  ///< HTTP status; 0 if no complete response was received
   std::string body;
-  bool not_sent =
-      false;  ///< no connection could be established, so no byte of the request reached the server
+  /// No connection could be established, so no byte of the request reached the server.
+  bool not_sent = false;
   std::vector<Header> headers;
 };
 
