--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -34,7 +34,7 @@
 }
 
 /// Counts the parts of a message under their purposes. The caller assigns the remaining bytes.
-void split_bytes(const fleet::PeerNews& update, PurposeBytes& bytes) {
+void split_bytes(const fleet::PeerUpdate& update, PurposeBytes& bytes) {
   if (update.anew) {
     return;
   }
@@ -48,7 +48,7 @@
   bytes[Purpose::kQuotaUsage] = encoded_size(update.spending) + encoded_size(update.windows);
 }
 
-void split_bytes(const fleet::FleetNews& update, PurposeBytes& bytes) {
+void split_bytes(const fleet::FleetFeedUpdate& update, PurposeBytes& bytes) {
   bytes[Purpose::kBackends] = encoded_size(update.backends) + encoded_size(update.gone);
   bytes[Purpose::kLoads] = encoded_size(update.loads) + encoded_size(update.limits);
   bytes[Purpose::kCaches] = encoded_size(update.caches);
@@ -72,18 +72,18 @@
         if constexpr (std::is_same_v<Type, PeerMessage> || std::is_same_v<Type, JoinRequest> ||
                       std::is_same_v<Type, fleet::MemberAddresses>) {
           return Purpose::kReplication;
-        } else if constexpr (std::is_same_v<Type, fleet::ConfirmationQuestion> ||
-                             std::is_same_v<Type, fleet::ConfirmationAnswer>) {
+        } else if constexpr (std::is_same_v<Type, fleet::ConfirmationRequest> ||
+                             std::is_same_v<Type, fleet::ConfirmationResponse>) {
           return Purpose::kConfirmations;
         } else if constexpr (std::is_same_v<Type, ControlCall> || std::is_same_v<Type, ControlAnswer> ||
                              std::is_same_v<Type, fleet::ConfirmedRead> ||
-                             std::is_same_v<Type, fleet::ConfirmedReadAnswer>) {
+                             std::is_same_v<Type, fleet::ConfirmedReadResponse>) {
           return Purpose::kCalls;
         } else if constexpr (std::is_same_v<Type, fleet::RouterStatus>) {
           return Purpose::kStatuses;
         } else if constexpr (std::is_same_v<Type, fleet::FleetUpdate>) {
           return Purpose::kUpdates;
-        } else if constexpr (std::is_same_v<Type, fleet::PlacementNews>) {
+        } else if constexpr (std::is_same_v<Type, fleet::PlacementUpdate>) {
           return Purpose::kPlacements;
         } else {
           return Purpose::kOther;
@@ -117,7 +117,7 @@
 PurposeBytes bytes_by_purpose(const Message& message, size_t frame_bytes) {
   PurposeBytes bytes;
   std::visit([&](const auto& alternative) { split_bytes(alternative, bytes); }, message.value);
-  const auto* update = std::get_if<fleet::PeerNews>(&message.value);
+  const auto* update = std::get_if<fleet::PeerUpdate>(&message.value);
   const Purpose remainder_purpose =
       update != nullptr && update->anew ? Purpose::kFullStates : purpose_of(message);
   bytes[remainder_purpose] += frame_bytes - std::min<uint64_t>(frame_bytes, bytes.total());
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "src/admission/quota_book.h"
-#include "src/admission/quota_gate.h"
+#include "src/admission/quota_enforcer.h"
+#include "src/admission/quota_ledger.h"
 #include "src/common/random.h"
 #include "tests/support/delayed_actions.h"
 
@@ -131,7 +131,7 @@
   struct Member {
     Member(const admission::QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
         : book(tolerance, start_id, now) {}
-    admission::QuotaBook book;
+    admission::QuotaLedger book;
     bool cut = false;                 ///< from all
     bool isolated = false;            ///< from the other members
     TimePoint since{0};               ///< of either
@@ -139,7 +139,7 @@
   };
   struct Router {
     Router(const admission::QuotaTolerance& tolerance, uint64_t seed) : gate(tolerance, seed) {}
-    admission::QuotaGate gate;
+    admission::QuotaEnforcer gate;
     bool cut = false;
     TimePoint since{0};  ///< of the cut
     TimePoint heard{0};
@@ -247,7 +247,7 @@
     for (const auto& router : routers_) {
       const bool silent = router->cut && now_ - router->since > kRouterSilence;
       if (silent && now_ - router->since < kKeyLease) {
-        unheard += admission::kAlonePart;
+        unheard += admission::kDisconnectedRateFraction;
       }
       const size_t follows = router->follows;
       if (!router->cut && follows != SIZE_MAX && !talk(index, follows)) {
@@ -268,11 +268,11 @@
     if (router.follows != member || router.told.count(member) == 0) {
       router.follows = member;
       router.told[member] = 0;
-      router.gate.begin_feed();
+      router.gate.on_member_change();
       feed_one(router, *members_[member], member);
     }
-    if (router.gate.has_untold()) {
-      auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_untold());
+    if (router.gate.has_unreported()) {
+      auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_unreported());
       taken_[index] = batch->number;
       Member* target = members_[member].get();
       const uint64_t start = target->book.start_id();
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -19,9 +19,9 @@
 namespace stoat::test {
 
 /// Notes the orders and takes all of them.
-class NotedOrders : public control::EngineOrders {
+class NotedOrders : public control::EngineInterface {
  public:
-  void send(const control::VersionOrder& order,
+  void send(const control::LoadWeightsOrder& order,
             std::function<void(control::OrderAnswer)> on_answer) override {
     orders.push_back(order);
     on_answer(control::OrderAnswer::kTaken);
@@ -29,11 +29,11 @@
   void ask(const std::string&, std::function<void(const control::EngineReport*)> on_report) override {
     on_report(nullptr);
   }
-  void follow_cache(const std::string&, uint64_t,
-                    std::function<void(const control::CacheEvents*)> on_events) override {
+  void poll_cache_events(const std::string&, uint64_t,
+                         std::function<void(const control::CacheEvents*)> on_events) override {
     on_events(nullptr);
   }
-  std::vector<control::VersionOrder> orders;
+  std::vector<control::LoadWeightsOrder> orders;
 };
 
 /// Runs something on a loop's thread and gives its result.
--- a/tests/unit/channel_test.cc
+++ b/tests/unit/channel_test.cc
@@ -42,8 +42,8 @@
 
 constexpr size_t kMessageBytes = 64 << 10;
 
-fleet::ConfirmedReadAnswer large_message() {
-  fleet::ConfirmedReadAnswer message;
+fleet::ConfirmedReadResponse large_message() {
+  fleet::ConfirmedReadResponse message;
   message.source = std::string(kMessageBytes, 'x');
   return message;
 }
--- a/tests/unit/traffic_test.cc
+++ b/tests/unit/traffic_test.cc
@@ -21,7 +21,7 @@
 }
 
 TEST(Traffic, BytesOfAPeerUpdateAreSplitByPurposeAndAddUpToTheFrame) {
-  fleet::PeerNews update;
+  fleet::PeerUpdate update;
   update.sender = "10.0.0.1:7";
   update.heartbeats = {backend_record("e1"), backend_record("e2")};
   update.loads = {{"e1", 3, 100}};
@@ -35,7 +35,7 @@
 }
 
 TEST(Traffic, AFullStateUpdateIsCountedUnderOnePurpose) {
-  fleet::PeerNews update;
+  fleet::PeerUpdate update;
   update.anew = true;
   update.heartbeats = {backend_record("e1")};
   const wire::Frame frame = wire::make_frame(update);
@@ -43,7 +43,7 @@
 }
 
 TEST(Traffic, BytesOfARouterUpdateAreSplitByPurpose) {
-  fleet::FleetNews update;
+  fleet::FleetFeedUpdate update;
   update.backends = {backend_record("e1")};
   update.loads = {{"e1", 3, 100}};
   update.quotas = {{"t1", 5, true}};
