--- a/tests/support/delayed_actions.h
+++ b/tests/support/delayed_actions.h
@@ -1,4 +1,4 @@
-/// Messages on their way in simulated time: each arrives at its own moment.
+/// Actions scheduled in simulated time, such as the arrival of delayed messages.
 #pragma once
 
 #include <functional>
@@ -9,21 +9,21 @@
 
 namespace stoat::test {
 
-/// See the head of this file. Those due at the same moment arrive in the order in which they were sent.
+/// See the top of this file. Actions due at the same time run in the order in which they were added.
 class DelayedActions {
  public:
-  void add(TimePoint due, std::function<void()> action) { waiting_.emplace(due, std::move(action)); }
-  /// Carries out what is due, also what that adds.
+  void add(TimePoint due, std::function<void()> action) { pending_.emplace(due, std::move(action)); }
+  /// Runs all actions due at `now` or before, including any due ones that these actions add.
   void run_due(TimePoint now) {
-    while (!waiting_.empty() && waiting_.begin()->first <= now) {
-      const auto action = std::move(waiting_.begin()->second);
-      waiting_.erase(waiting_.begin());
+    while (!pending_.empty() && pending_.begin()->first <= now) {
+      const auto action = std::move(pending_.begin()->second);
+      pending_.erase(pending_.begin());
       action();
     }
   }
 
  private:
-  std::multimap<TimePoint, std::function<void()>> waiting_;
+  std::multimap<TimePoint, std::function<void()>> pending_;
 };
 
 }  // namespace stoat::test
--- a/tests/support/drawn_rollout.h
+++ b/tests/support/drawn_rollout.h
@@ -1,6 +1,6 @@
-/// One roll-out of a service's version with drawn circumstances, played by the decision classes: the
-/// planner's steps, the shares of routes, and the judge. Answers are drawn from distributions; routers are
-/// one.
+/// A simulation of one rollout of a service version under random conditions. The planner, the per-route
+/// shares and the judge are the production code. Responses are drawn from distributions, and one simulated
+/// router stands for all.
 #pragma once
 
 #include <algorithm>
@@ -16,137 +16,150 @@
 
 namespace stoat::test {
 
-/// What is wrong with a version.
-enum class Fault : uint8_t { kNone, kFails, kSlow };
+/// The fault of the target version.
+enum class VersionFault : uint8_t { kNone, kFailures, kSlow };
 
-/// The circumstances of a roll-out.
-struct RolloutDraw {
-  Duration duration{0};
-  double rate = 0;             ///< requests a second
-  std::vector<double> routes;  ///< part of the requests of each
-  double median_ms = 50;
-  double sigma = 0.5;    ///< of the logarithm of the time
-  double noise = 0;      ///< part of all answers that fail whatever the version
-  size_t back_ends = 0;  ///< of each version
-  Duration start{0};     ///< from the order until the new ones are there
-  double load = 0;       ///< of the others' back ends: part of the slots
-  Fault fault = Fault::kNone;
-  double bad_part = 0;  ///< of the answers that are bad
-  double slow_factor = 1;
-  Duration onset{0};  ///< from the order
-  bool only_under_load = false;
-  int only_route = -1;       ///< -1: all
-  Duration trouble_from{0};  ///< meanwhile all versions fail more, or are slower
-  Duration trouble_until{0};
-  double trouble_failures = 0;
-  double trouble_slowness = 1;
-  Duration crash_at{0};  ///< a new back end crashes with what runs there; 0: none
+/// The conditions of a rollout. The target version is the one that is rolled out; the other version serves
+/// before.
+struct RolloutConditions {
+  Duration duration{0};        ///< from the order until the deadline
+  double rate = 0;             ///< requests per second
+  std::vector<double> routes;  ///< fraction of the requests, by route
+  double median_first_event_ms = 50;
+  double sigma = 0.5;            ///< standard deviation of the logarithm of the time to the first event
+  double base_failure_rate = 0;  ///< fraction of responses that fail, for any version
+  size_t backends = 0;           ///< number of backends of each version
+  Duration startup_delay{0};     ///< from the order until the target version's backends are ready
+  double load = 0;               ///< of the other version's backends, as a fraction of their slots
+  VersionFault fault = VersionFault::kNone;
+  double bad_fraction = 0;             ///< fraction of the target version's responses that show the fault
+  double fault_slowdown = 1;           ///< factor on the time to the first event with VersionFault::kSlow
+  Duration fault_onset{0};             ///< from the order until the fault begins to show
+  bool fault_only_under_load = false;  ///< the fault shows only if at least half of the slots are in use
+  int faulty_route = -1;               ///< the only route on which the fault shows; -1: all
+  /// From this time until disturbance_end, both measured from the order, both versions fail more often or
+  /// respond more slowly.
+  Duration disturbance_start{0};
+  Duration disturbance_end{0};
+  double disturbance_failure_rate = 0;  ///< fraction of responses that fail in addition
+  double disturbance_slowdown = 1;      ///< factor on the time to the first event
+  Duration crash_at{0};                 ///< when a target backend crashes with its running requests; 0: none
 };
 
-inline RolloutDraw draw_rollout(uint64_t seed, bool bad) {
+/// Draws the conditions of a rollout. `bad`: the target version has a fault.
+inline RolloutConditions draw_rollout(uint64_t seed, bool bad) {
   Random random(seed);
-  const auto between = [&](double low, double high) { return low + (high - low) * random.unit(); };
-  const auto spread = [&](double low, double high) { return low * std::pow(high / low, random.unit()); };
-  RolloutDraw draw;
-  draw.duration = from_seconds(spread(8, 30));
-  draw.rate = spread(60, 1500);
+  const auto uniform = [&](double low, double high) { return low + (high - low) * random.unit(); };
+  const auto log_uniform = [&](double low, double high) { return low * std::pow(high / low, random.unit()); };
+  RolloutConditions conditions;
+  conditions.duration = from_seconds(log_uniform(8, 30));
+  conditions.rate = log_uniform(60, 1500);
   const size_t routes = 1 + random.below(3);
   double sum = 0;
   for (size_t route = 0; route < routes; ++route) {
-    draw.routes.push_back(between(0.1, 1));
-    sum += draw.routes.back();
+    conditions.routes.push_back(uniform(0.1, 1));
+    sum += conditions.routes.back();
   }
-  for (double& part : draw.routes) {
-    part /= sum;
+  for (double& fraction : conditions.routes) {
+    fraction /= sum;
   }
-  draw.median_ms = spread(10, 300);
-  draw.sigma = between(0.2, 0.7);
-  draw.noise = random.chance(0.5) ? 0 : between(0, 0.01);
-  draw.back_ends = 3 + random.below(60);
-  draw.start = from_seconds(between(0.2, 2));
-  draw.load = between(0.1, 1.1);
+  conditions.median_first_event_ms = log_uniform(10, 300);
+  conditions.sigma = uniform(0.2, 0.7);
+  conditions.base_failure_rate = random.chance(0.5) ? 0 : uniform(0, 0.01);
+  conditions.backends = 3 + random.below(60);
+  conditions.startup_delay = from_seconds(uniform(0.2, 2));
+  conditions.load = uniform(0.1, 1.1);
   if (random.chance(0.3)) {
-    draw.trouble_from = from_seconds(between(0, to_seconds(draw.duration)));
-    draw.trouble_until = draw.trouble_from + from_seconds(between(0.5, 4));
-    draw.trouble_failures = random.chance(0.5) ? between(0.02, 0.4) : 0;
-    draw.trouble_slowness = random.chance(0.5) ? between(1, 4) : 1;
+    conditions.disturbance_start = from_seconds(uniform(0, to_seconds(conditions.duration)));
+    conditions.disturbance_end = conditions.disturbance_start + from_seconds(uniform(0.5, 4));
+    conditions.disturbance_failure_rate = random.chance(0.5) ? uniform(0.02, 0.4) : 0;
+    conditions.disturbance_slowdown = random.chance(0.5) ? uniform(1, 4) : 1;
   }
   if (random.chance(0.2)) {
-    draw.crash_at = from_seconds(between(1, to_seconds(draw.duration)));
+    conditions.crash_at = from_seconds(uniform(1, to_seconds(conditions.duration)));
   }
   if (bad) {
-    draw.fault = random.chance(0.5) ? Fault::kFails : Fault::kSlow;
-    draw.bad_part = between(0.2, 1);
-    draw.slow_factor = between(3, 6);
+    conditions.fault = random.chance(0.5) ? VersionFault::kFailures : VersionFault::kSlow;
+    conditions.bad_fraction = uniform(0.2, 1);
+    conditions.fault_slowdown = uniform(3, 6);
     switch (random.below(4)) {
       case 0:
         break;
       case 1:
-        draw.onset = from_seconds(between(0, 0.5 * to_seconds(draw.duration)));
+        conditions.fault_onset = from_seconds(uniform(0, 0.5 * to_seconds(conditions.duration)));
         break;
       case 2:
-        draw.only_under_load = true;
-        draw.load = between(0.55, 1.1);
+        conditions.fault_only_under_load = true;
+        conditions.load = uniform(0.55, 1.1);
         break;
       default:
-        draw.only_route = static_cast<int>(random.below(routes));
+        conditions.faulty_route = static_cast<int>(random.below(routes));
     }
   }
-  return draw;
+  return conditions;
 }
 
-/// See the head of this file.
+/// See the top of this file.
 class DrawnRollout {
  public:
-  DrawnRollout(const RolloutDraw& draw, uint64_t seed) : draw_(draw), random_(seed) {
+  DrawnRollout(const RolloutConditions& conditions, uint64_t seed) : conditions_(conditions), random_(seed) {
     rollout_.service = "s";
     rollout_.id = 1;
     rollout_.step = 1;
     rollout_.target_version = "v2";
     rollout_.active_versions = {"v1"};
-    rollout_.duration_ms = to_milliseconds(draw.duration);
-    applied_ = rollout_;
-    for (size_t index = 0; index < draw.back_ends; ++index) {
-      ids_.push_back("i-" + std::to_string(index));
+    rollout_.duration_ms = to_milliseconds(conditions.duration);
+    applied_rollout_ = rollout_;
+    for (size_t index = 0; index < conditions.backends; ++index) {
+      backend_ids_.push_back("i-" + std::to_string(index));
     }
-    for (size_t route = 0; route < draw.routes.size(); ++route) {
-      names_.push_back("r" + std::to_string(route));
+    for (size_t route = 0; route < conditions.routes.size(); ++route) {
+      route_names_.push_back("r" + std::to_string(route));
     }
   }
 
-  /// Plays until the roll-out is final, or some seconds after its deadline.
+  /// Runs the simulation until the rollout is in a final phase, at most until kMaxOvertime after its
+  /// deadline.
   void run() {
-    while (!rollout_.final() && now_ < draw_.duration + kGiveUp) {
+    while (!rollout_.final() && now_ < conditions_.duration + kMaxOvertime) {
       step();
     }
   }
   bool completed_in_time() const { return ended(fleet::RolloutPhase::kCompleted); }
   bool rolled_back_in_time() const { return ended(fleet::RolloutPhase::kRolledBack); }
   const fleet::ServiceRollout& rollout() const { return rollout_; }
-  /// True when the version got more requests than operators allow, before it was judged good.
+  /// Returns whether a faulty version received more requests than the exposure bounds allow before the
+  /// switch.
   bool got_too_many() const { return too_many_; }
-  /// True when it got some so long after it had shown that it is bad.
+  /// Returns whether a faulty version still received requests later than kMaxRollbackTime after its
+  /// kBadResponsesBeforeRollback-th bad response, before the switch.
   bool got_it_too_long() const { return too_long_; }
-  /// Bad answers until it was judged good, or till the end.
-  double bad_before_switch() const { return bad_answers_; }
+  /// Returns the number of bad responses before the switch, or until the end if there was none.
+  double bad_before_switch() const { return bad_responses_; }
 
  private:
   static constexpr Duration kStep = 200ms;
-  static constexpr Duration kGiveUp = 3s;
-  static constexpr Duration kRollback = 5s;
+  static constexpr Duration kMaxOvertime = 3s;
+  /// Maximum time for the rollback of a version that has given kBadResponsesBeforeRollback bad responses.
+  static constexpr Duration kMaxRollbackTime = 5s;
+  /// Before the switch, the target version may receive this fraction of all requests, plus kExposureSlack.
   static constexpr double kExposureShare = 0.1;
   static constexpr double kExposureSlack = 50;
-  static constexpr double kBadBeforeRollback = 50;
-  /// From an answer until the leader has judged it, and from a step until all routers keep to it.
+  static constexpr double kBadResponsesBeforeRollback = 50;
+  /// Number of simulation steps from a response until the leader has judged it, and from a rollout step until
+  /// all routers apply it.
   static constexpr size_t kDelaySteps = 2;
 
-  bool ended(fleet::RolloutPhase phase) const { return rollout_.phase == phase && now_ <= draw_.duration; }
+  bool ended(fleet::RolloutPhase phase) const {
+    return rollout_.phase == phase && now_ <= conditions_.duration;
+  }
+  /// Returns a number from the standard normal distribution.
   double normal() {
     const double radius = std::sqrt(-2 * std::log(1 - random_.unit()));
     return radius * std::cos(2 * 3.14159265358979 * random_.unit());
   }
   uint64_t poisson(double mean) {
-    if (mean > 30) {
+    if (mean > 30) {  // normal approximation
       return static_cast<uint64_t>(std::max(0.0, std::round(mean + std::sqrt(mean) * normal())));
     }
     uint64_t count = 0;
@@ -156,45 +169,53 @@
     }
     return count;
   }
-  bool troubled() const { return now_ >= draw_.trouble_from && now_ < draw_.trouble_until; }
-  double base_failures() const { return draw_.noise + (troubled() ? draw_.trouble_failures : 0); }
-  size_t draw_bucket(double factor) {
-    const double slower = troubled() ? draw_.trouble_slowness : 1;
-    return rollout::time_bucket(
-        from_seconds(draw_.median_ms * factor * slower * std::exp(draw_.sigma * normal()) / 1000));
+  bool disturbed() const {
+    return now_ >= conditions_.disturbance_start && now_ < conditions_.disturbance_end;
+  }
+  double failure_probability() const {
+    return conditions_.base_failure_rate + (disturbed() ? conditions_.disturbance_failure_rate : 0);
+  }
+  /// Draws a time to the first event, multiplied by `factor`, and returns the bucket that counts it.
+  size_t draw_time_bucket(double factor) {
+    const double slowdown = disturbed() ? conditions_.disturbance_slowdown : 1;
+    return rollout::time_bucket(from_seconds(conditions_.median_first_event_ms * factor * slowdown *
+                                             std::exp(conditions_.sigma * normal()) / 1000));
   }
   uint8_t condition(double load) const {
     return rollout::condition_of(0, static_cast<uint32_t>(16 * load), 16);
   }
 
+  /// Advances the simulation by kStep.
   void step() {
     now_ += kStep;
-    steps_.push_back(rollout_);
-    if (steps_.size() > kDelaySteps) {
-      applied_ = steps_.front();
-      steps_.pop_front();
+    pending_steps_.push_back(rollout_);
+    if (pending_steps_.size() > kDelaySteps) {
+      applied_rollout_ = pending_steps_.front();
+      pending_steps_.pop_front();
     }
-    for (size_t route = 0; route < names_.size(); ++route) {
-      send(route);
+    for (size_t route = 0; route < route_names_.size(); ++route) {
+      send_requests(route);
     }
-    crash();
-    check();
-    if (evidence_.size() > kDelaySteps) {
-      for (const fleet::AnswerCount& count : evidence_.front()) {
+    crash_backend();
+    check_exposure();
+    if (pending_counts_.size() > kDelaySteps) {
+      for (const fleet::AnswerCount& count : pending_counts_.front()) {
         judge_.add(count.key, count.sums);
       }
-      evidence_.pop_front();
+      pending_counts_.pop_front();
     }
-    evidence_.emplace_back(std::move(counted_));
-    counted_.clear();
+    pending_counts_.emplace_back(std::move(new_counts_));
+    new_counts_.clear();
     judge_.judge(now_);
-    plan();
+    plan_next_step();
   }
 
-  double share_of(size_t route) const {
-    switch (applied_.phase) {
+  /// Returns the fraction of a route's requests that routers send to the target version.
+  double target_share(size_t route) const {
+    switch (applied_rollout_.phase) {
       case fleet::RolloutPhase::kTrial:
-        return rollout::share_of_route(applied_.share, draw_.routes[route], draw_.routes.size());
+        return rollout::share_of_route(applied_rollout_.share, conditions_.routes[route],
+                                       conditions_.routes.size());
       case fleet::RolloutPhase::kSwitching:
       case fleet::RolloutPhase::kCompleted:
         return 1;
@@ -202,109 +223,120 @@
         return 0;
     }
   }
-  void send(size_t route) {
-    const double mean = draw_.rate * draw_.routes[route] * to_seconds(kStep);
-    const double share = share_of(route);
-    const uint64_t target = poisson(mean * share);
-    const uint64_t others = poisson(mean * (1 - share));
-    all_sent_ += static_cast<double>(target + others);
-    target_sent_ += static_cast<double>(target);
-    answer_others(route, others);
-    answer_target(route, target);
+  /// Sends the requests of one step on a route, and counts the responses.
+  void send_requests(size_t route) {
+    const double mean = conditions_.rate * conditions_.routes[route] * to_seconds(kStep);
+    const double share = target_share(route);
+    const uint64_t target_requests = poisson(mean * share);
+    const uint64_t other_requests = poisson(mean * (1 - share));
+    all_sent_ += static_cast<double>(target_requests + other_requests);
+    target_sent_ += static_cast<double>(target_requests);
+    count_other_responses(route, other_requests);
+    count_target_responses(route, target_requests);
   }
-  void answer_others(size_t route, uint64_t answers) {
-    if (answers == 0) {
+  void count_other_responses(size_t route, uint64_t responses) {
+    if (responses == 0) {
       return;
     }
-    fleet::AnswerCount count{{1, false, "", names_[route], condition(draw_.load)}, {}};
+    fleet::AnswerCount count{{1, false, "", route_names_[route], condition(conditions_.load)}, {}};
     count.sums.times.resize(rollout::kTimeBuckets);
-    count.sums.sent = answers;
-    // Some of them stand for all.
-    constexpr uint64_t kDrawn = 24;
-    const uint64_t drawn = std::min(answers, kDrawn);
-    for (uint64_t answer = 0; answer < drawn; ++answer) {
-      const uint64_t weight = answers / drawn + (answer < answers % drawn ? 1 : 0);
-      count.sums.times[draw_bucket(1)] += weight;
+    count.sums.sent = responses;
+    // The times of at most kMaxDrawnTimes responses are drawn, and each is counted for several.
+    constexpr uint64_t kMaxDrawnTimes = 24;
+    const uint64_t drawn_times = std::min(responses, kMaxDrawnTimes);
+    for (uint64_t response = 0; response < drawn_times; ++response) {
+      const uint64_t weight = responses / drawn_times + (response < responses % drawn_times ? 1 : 0);
+      count.sums.times[draw_time_bucket(1)] += weight;
     }
-    count.sums.failed = poisson(static_cast<double>(answers) * base_failures());
-    counted_.push_back(std::move(count));
+    count.sums.failed = poisson(static_cast<double>(responses) * failure_probability());
+    new_counts_.push_back(std::move(count));
   }
-  void answer_target(size_t route, uint64_t answers) {
-    if (answers == 0) {
+  void count_target_responses(size_t route, uint64_t responses) {
+    if (responses == 0) {
       return;
     }
-    const std::vector<std::string> sample = rollout::sample_of(ids_, applied_);
-    // Each bears as much as it would if its version had all; a small sample of many bears less.
-    const double density = applied_.phase != fleet::RolloutPhase::kTrial
-                               ? 1
-                               : std::min(1.0, applied_.share * static_cast<double>(ids_.size()) /
-                                                   static_cast<double>(sample.size()));
-    const double load = draw_.load * density;
-    const bool bad_here = draw_.fault != Fault::kNone && now_ >= draw_.onset &&
-                          (!draw_.only_under_load || load >= 0.5) &&
-                          (draw_.only_route < 0 || static_cast<size_t>(draw_.only_route) == route);
-    std::vector<fleet::AnswerCount> by_back_end(std::min<size_t>(sample.size(), answers));
-    const size_t first = random_.below(sample.size());
-    for (uint64_t answer = 0; answer < answers; ++answer) {
-      fleet::AnswerCount& count = by_back_end[answer % by_back_end.size()];
+    const std::vector<std::string> sample = rollout::sample_of(backend_ids_, applied_rollout_);
+    // During the trial, each backend of the sample bears the load that it would bear if its version received
+    // all requests, or less if the sample is larger than the share requires.
+    const double relative_load =
+        applied_rollout_.phase != fleet::RolloutPhase::kTrial
+            ? 1
+            : std::min(1.0, applied_rollout_.share * static_cast<double>(backend_ids_.size()) /
+                                static_cast<double>(sample.size()));
+    const double load = conditions_.load * relative_load;
+    const bool fault_shows =
+        conditions_.fault != VersionFault::kNone && now_ >= conditions_.fault_onset &&
+        (!conditions_.fault_only_under_load || load >= 0.5) &&
+        (conditions_.faulty_route < 0 || static_cast<size_t>(conditions_.faulty_route) == route);
+    std::vector<fleet::AnswerCount> counts(std::min<size_t>(sample.size(), responses));
+    const size_t first_index = random_.below(sample.size());
+    for (uint64_t response = 0; response < responses; ++response) {
+      fleet::AnswerCount& count = counts[response % counts.size()];
       if (count.sums.times.empty()) {
-        const std::string& id = sample[(first + answer) % sample.size()];
-        count.key = {1, true, id, names_[route], condition(load)};
+        const std::string& id = sample[(first_index + response) % sample.size()];
+        count.key = {1, true, id, route_names_[route], condition(load)};
         count.sums.times.resize(rollout::kTimeBuckets);
       }
       ++count.sums.sent;
-      const bool bad = bad_here && random_.chance(draw_.bad_part);
-      note_bad(bad);
-      if ((bad && draw_.fault == Fault::kFails) || random_.chance(base_failures())) {
+      const bool bad = fault_shows && random_.chance(conditions_.bad_fraction);
+      record_response(bad);
+      if ((bad && conditions_.fault == VersionFault::kFailures) || random_.chance(failure_probability())) {
         ++count.sums.failed;
       } else {
-        ++count.sums.times[draw_bucket(bad ? draw_.slow_factor : 1)];
+        ++count.sums.times[draw_time_bucket(bad ? conditions_.fault_slowdown : 1)];
       }
     }
-    for (fleet::AnswerCount& count : by_back_end) {
-      counted_.push_back(std::move(count));
+    for (fleet::AnswerCount& count : counts) {
+      new_counts_.push_back(std::move(count));
     }
   }
-  void note_bad(bool bad) {
-    if (!bad || switched_ > TimePoint(0)) {
+  /// Counts a response of the target version if it is bad and came before the switch.
+  void record_response(bool bad) {
+    if (!bad || switched_at_ > TimePoint(0)) {
       return;
     }
-    bad_answers_ += 1;
-    if (bad_answers_ == kBadBeforeRollback) {
-      fiftieth_bad_ = now_;
+    bad_responses_ += 1;
+    if (bad_responses_ == kBadResponsesBeforeRollback) {
+      bad_limit_reached_at_ = now_;
     }
   }
-  void crash() {
-    const bool now = draw_.crash_at > now_ - kStep && draw_.crash_at <= now_;
-    if (!now || share_of(0) <= 0) {
+  /// Counts the broken requests of a crashing backend when the crash is due.
+  void crash_backend() {
+    const bool due = conditions_.crash_at > now_ - kStep && conditions_.crash_at <= now_;
+    if (!due || target_share(0) <= 0) {
       return;
     }
-    fleet::AnswerCount count{{1, true, rollout::sample_of(ids_, applied_).front(), names_[0], 0}, {}};
+    fleet::AnswerCount count{
+        {1, true, rollout::sample_of(backend_ids_, applied_rollout_).front(), route_names_[0], 0}, {}};
     count.sums.broken = 1 + random_.below(16);
-    counted_.push_back(count);
+    new_counts_.push_back(count);
   }
-  void check() {
-    if (draw_.fault == Fault::kNone || now_ > draw_.duration) {
+  /// Checks the exposure to a faulty version, until the deadline.
+  void check_exposure() {
+    if (conditions_.fault == VersionFault::kNone || now_ > conditions_.duration) {
       return;
     }
     const bool too_many = target_sent_ > kExposureShare * all_sent_ + kExposureSlack;
-    const bool too_long = fiftieth_bad_ > TimePoint(0) && now_ > fiftieth_bad_ + kRollback && share_of(0) > 0;
-    // What comes after a wrong verdict is counted as one.
-    too_many_ = too_many_ || (too_many && switched_ == TimePoint(0));
-    too_long_ = too_long_ || (too_long && switched_ == TimePoint(0));
+    const bool too_long = bad_limit_reached_at_ > TimePoint(0) &&
+                          now_ > bad_limit_reached_at_ + kMaxRollbackTime && target_share(0) > 0;
+    // After the switch, the failure is that the version was wrongly judged good; it is not counted here as
+    // well.
+    too_many_ = too_many_ || (too_many && switched_at_ == TimePoint(0));
+    too_long_ = too_long_ || (too_long && switched_at_ == TimePoint(0));
   }
-  void plan() {
+  /// Applies the planner's next step, if there is one.
+  void plan_next_step() {
     rollout::RolloutView view;
     view.rollout = &rollout_;
     view.age = now_;
-    view.in_step = now_ - stepped_;
-    view.target_ready = now_ >= draw_.start ? draw_.back_ends : 0;
-    view.others_ready = draw_.back_ends;
+    view.in_step = now_ - last_step_at_;
+    view.target_ready = now_ >= conditions_.startup_delay ? conditions_.backends : 0;
+    view.others_ready = conditions_.backends;
     view.longest_run = 6s;
     view.judgement = judge_.judgement();
     view.target_sent = target_sent_;
     view.all_sent = all_sent_;
-    view.all_applied = applied_.step == rollout_.step;
+    view.all_applied = applied_rollout_.step == rollout_.step;
     const auto next = rollout::next_step(view, options_);
     if (!next) {
       return;
@@ -314,30 +346,31 @@
     rollout_.share = next->share;
     rollout_.spread = next->spread;
     rollout_.reason = next->reason;
-    stepped_ = now_;
+    last_step_at_ = now_;
     if (next->phase == fleet::RolloutPhase::kSwitching) {
-      switched_ = now_;
+      switched_at_ = now_;
     }
   }
 
-  RolloutDraw draw_;
+  RolloutConditions conditions_;
   Random random_;
   rollout::PlannerOptions options_;
   rollout::VersionJudge judge_;
   fleet::ServiceRollout rollout_;
-  fleet::ServiceRollout applied_;
-  std::deque<fleet::ServiceRollout> steps_;
-  std::vector<std::string> ids_;
-  std::vector<std::string> names_;
-  std::vector<fleet::AnswerCount> counted_;
-  std::deque<std::vector<fleet::AnswerCount>> evidence_;
-  TimePoint now_{0};
-  TimePoint stepped_{0};
-  TimePoint switched_{0};
-  TimePoint fiftieth_bad_{0};
+  fleet::ServiceRollout applied_rollout_;            ///< as the routers apply it
+  std::deque<fleet::ServiceRollout> pending_steps_;  ///< steps that routers don't apply yet, oldest first
+  std::vector<std::string> backend_ids_;
+  std::vector<std::string> route_names_;
+  std::vector<fleet::AnswerCount> new_counts_;                  ///< of the current step
+  std::deque<std::vector<fleet::AnswerCount>> pending_counts_;  ///< not judged yet, oldest first
+  TimePoint now_{0};                                            ///< since the order
+  TimePoint last_step_at_{0};                                   ///< last step of the rollout
+  TimePoint switched_at_{0};  ///< when all requests were switched to the target version; 0: not yet
+  TimePoint bad_limit_reached_at_{
+      0};  ///< time of the bad response number kBadResponsesBeforeRollback; 0: not yet
   double all_sent_ = 0;
   double target_sent_ = 0;
-  double bad_answers_ = 0;
+  double bad_responses_ = 0;
   bool too_many_ = false;
   bool too_long_ = false;
 };
--- a/tests/support/fake_engine.h
+++ b/tests/support/fake_engine.h
@@ -1,5 +1,5 @@
-/// An engine of slots and a reading speed, in arithmetic: prompts are read one after the other, in the order
-/// in which their requests got a slot.
+/// A model of an inference engine with a fixed number of slots and a fixed prefill rate. It processes prompts
+/// one after the other, in the order in which their requests got a slot.
 #pragma once
 
 #include <algorithm>
@@ -9,73 +9,78 @@
 
 namespace stoat::test {
 
-/// When a request begins to answer and when it leaves its slot, in milliseconds.
+/// Times at which a request produces its first event and at which it frees its slot, in milliseconds.
 struct FakeRun {
   double first_event_ms = 0;
   double end_ms = 0;
 };
 
-/// See the head of this file. Times must not fall from one call to the next.
+/// See the top of this file. `now_ms` must not decrease from one call to the next.
 class FakeEngine {
  public:
-  FakeEngine(size_t slots, double tokens_per_ms, double base_ms = 15)
-      : slots_(slots), tokens_per_ms_(tokens_per_ms), base_ms_(base_ms) {}
+  /// `first_event_delay_ms`: time from the end of a request's prefill to its first event.
+  FakeEngine(size_t slots, double prefill_tokens_per_ms, double first_event_delay_ms = 15)
+      : slots_(slots),
+        prefill_tokens_per_ms_(prefill_tokens_per_ms),
+        first_event_delay_ms_(first_event_delay_ms) {}
 
-  /// Takes a request at the end of its queue.
-  FakeRun take(double now_ms, double tokens, double answer_ms) {
-    drop_ended(now_ms);
-    double begin = now_ms;
-    if (ends_.size() >= slots_) {
-      // As many runs end before this one gets a slot as are too many.
-      auto left = ends_;
-      for (size_t over = ends_.size() - slots_ + 1; over > 0; --over) {
-        begin = std::max(begin, left.top());
-        left.pop();
+  /// Adds a request to the end of the queue and returns its times.
+  /// `response_ms`: time from the first event to the end of the response.
+  FakeRun take(double now_ms, double prompt_tokens, double response_ms) {
+    remove_past_events(now_ms);
+    double prefill_start_ms = now_ms;
+    if (end_times_.size() >= slots_) {
+      // The request gets a slot once enough of the earlier ones have ended.
+      auto remaining = end_times_;
+      for (size_t excess = end_times_.size() - slots_ + 1; excess > 0; --excess) {
+        prefill_start_ms = std::max(prefill_start_ms, remaining.top());
+        remaining.pop();
       }
     }
-    begin = std::max(begin, reading_until_);
-    reading_until_ = begin + tokens / tokens_per_ms_;
-    const FakeRun run{reading_until_ + base_ms_, reading_until_ + base_ms_ + answer_ms};
-    ends_.push(run.end_ms);
-    first_events_.push({run.first_event_ms, tokens});
+    prefill_start_ms = std::max(prefill_start_ms, prefill_end_ms_);
+    prefill_end_ms_ = prefill_start_ms + prompt_tokens / prefill_tokens_per_ms_;
+    const FakeRun run{prefill_end_ms_ + first_event_delay_ms_,
+                      prefill_end_ms_ + first_event_delay_ms_ + response_ms};
+    end_times_.push(run.end_ms);
+    pending_first_events_.push({run.first_event_ms, prompt_tokens});
     return run;
   }
-  /// Requests here, with those that wait.
+  /// Returns the number of requests that have not ended, including those that wait for a slot.
   size_t outstanding(double now_ms) {
-    drop_ended(now_ms);
-    return ends_.size();
+    remove_past_events(now_ms);
+    return end_times_.size();
   }
-  /// Tokens of requests without a first event.
+  /// Returns the number of prompt tokens of the requests that have not produced their first event.
   double waiting_tokens(double now_ms) {
-    drop_ended(now_ms);
-    double sum = 0;
-    auto left = first_events_;
-    for (; !left.empty(); left.pop()) {
-      sum += left.top().second;
+    remove_past_events(now_ms);
+    double total = 0;
+    auto remaining = pending_first_events_;
+    for (; !remaining.empty(); remaining.pop()) {
+      total += remaining.top().second;
     }
-    return sum;
+    return total;
   }
   size_t slots() const { return slots_; }
 
  private:
   template <typename Entry>
-  using Earliest = std::priority_queue<Entry, std::vector<Entry>, std::greater<>>;
+  using MinHeap = std::priority_queue<Entry, std::vector<Entry>, std::greater<>>;
 
-  void drop_ended(double now_ms) {
-    while (!ends_.empty() && ends_.top() <= now_ms) {
-      ends_.pop();
+  void remove_past_events(double now_ms) {
+    while (!end_times_.empty() && end_times_.top() <= now_ms) {
+      end_times_.pop();
     }
-    while (!first_events_.empty() && first_events_.top().first <= now_ms) {
-      first_events_.pop();
+    while (!pending_first_events_.empty() && pending_first_events_.top().first <= now_ms) {
+      pending_first_events_.pop();
     }
   }
 
   size_t slots_;
-  double tokens_per_ms_;
-  double base_ms_;
-  double reading_until_ = 0;
-  Earliest<double> ends_;
-  Earliest<std::pair<double, double>> first_events_;
+  double prefill_tokens_per_ms_;
+  double first_event_delay_ms_;
+  double prefill_end_ms_ = 0;  ///< end of the prefill of the last request
+  MinHeap<double> end_times_;  ///< end times of the requests that have not ended
+  MinHeap<std::pair<double, double>> pending_first_events_;  ///< time and number of prompt tokens
 };
 
 }  // namespace stoat::test
--- a/tests/support/fleet_members.h
+++ b/tests/support/fleet_members.h
@@ -1,11 +1,11 @@
-/// Control members in one process, each on a thread and with a folder of its own.
+/// Several control members in one process, each with its own thread and data directory.
 #pragma once
 
 #include "tests/support/small_fleet.h"
 
 namespace stoat::test {
 
-/// One member on a thread of its own.
+/// A control member that runs on a thread of its own.
 class MemberThread {
  public:
   MemberThread(const Endpoint& internal, const std::vector<Endpoint>& seeds, const std::string& folder,
@@ -22,8 +22,8 @@
     settings.core.replica.heartbeat_interval = 40ms;
     settings.holder_lease = 200ms;
     settings.rollout.start_delay = 0ms;
-    settings.registry.lost_after = 60s;  // heartbeats come from the test
-    server_ = std::make_unique<control::FleetServer>(loop_, settings, orders_);
+    settings.registry.lost_after = 60s;  // engines send no heartbeats here, only the test does
+    server_ = std::make_unique<control::FleetServer>(loop_, settings, engine_orders_);
     thread_ = std::thread([this] { loop_.run(); });
   }
   ~MemberThread() {
@@ -33,6 +33,7 @@
   MemberThread(const MemberThread&) = delete;
   MemberThread& operator=(const MemberThread&) = delete;
 
+  /// Returns whether the command is known to be durable and applied.
   bool commit(const control::Command& command) {
     auto result = std::make_shared<std::promise<bool>>();
     auto future = result->get_future();
@@ -41,6 +42,7 @@
     });
     return future.get();
   }
+  /// Returns the operator's document of the newest configuration; nullopt if it can't be confirmed.
   std::optional<std::string> read() {
     auto result = std::make_shared<std::promise<std::optional<std::string>>>();
     auto future = result->get_future();
@@ -50,29 +52,30 @@
     });
     return future.get();
   }
-  /// Orders the move of service "s" to a version; nullopt: what became of it is not known.
+  /// Orders a rollout of service "s" to a version. Returns nullopt if the outcome is unknown.
   std::optional<control::ResultCode> order_rollout(const std::string& version, int64_t duration_ms) {
     auto result = std::make_shared<std::promise<std::optional<control::ResultCode>>>();
     auto future = result->get_future();
     loop_.post([this, version, duration_ms, result] {
-      server_->order_rollout({"s", version, duration_ms, 0, {}}, [result](const auto& taken) {
-        result->set_value(taken ? std::optional(taken->code) : std::nullopt);
+      server_->order_rollout({"s", version, duration_ms, 0, {}}, [result](const auto& outcome) {
+        result->set_value(outcome ? std::optional(outcome->code) : std::nullopt);
       });
     });
     return future.get();
   }
-  /// The rollout of service "s", confirmed; nullopt: there is none, or it can't be confirmed.
+  /// Returns the last rollout of service "s"; nullopt if there is none or it can't be confirmed.
   std::optional<fleet::ServiceRollout> rollout() {
     auto result = std::make_shared<std::promise<std::optional<fleet::ServiceRollout>>>();
     auto future = result->get_future();
     loop_.post([this, result] {
-      server_->read_rollout("s", [result](const auto& found) {
-        const bool known = found && !found->empty();
-        result->set_value(known ? std::optional(found->front()) : std::nullopt);
+      server_->read_rollout("s", [result](const auto& rollouts) {
+        const bool exists = rollouts && !rollouts->empty();
+        result->set_value(exists ? std::optional(rollouts->front()) : std::nullopt);
       });
     });
     return future.get();
   }
+  /// Returns whether this member is the leader.
   bool leads() {
     return run_on(loop_, [this] {
       return server_->metrics().to_text().find("stoat_control_leads 1") != std::string::npos;
@@ -87,28 +90,30 @@
       return true;
     });
   }
-  /// How many orders of weights this member has given.
+  /// Returns the number of weight orders that this member has sent to engines.
   size_t orders() {
-    return run_on(loop_, [this] { return orders_.orders.size(); });
+    return run_on(loop_, [this] { return engine_orders_.orders.size(); });
   }
 
  private:
   EventLoop loop_;
-  NotedOrders orders_;
+  NotedOrders engine_orders_;
   std::unique_ptr<control::FleetServer> server_;
   std::thread thread_;
 };
 
-/// Up to four members; three of them are wanted as voters.
+/// Test fixture with up to four control members, of which three are to be voters. The first three are the
+/// seeds.
 class MembersFixture : public ::testing::Test {
  protected:
   MembersFixture() {
-    root_ = std::filesystem::temp_directory_path() / ("stoat-members-" + std::to_string(::getpid()));
-    std::filesystem::remove_all(root_);
+    directory_ = std::filesystem::temp_directory_path() / ("stoat-members-" + std::to_string(::getpid()));
+    std::filesystem::remove_all(directory_);
     for (int i = 0; i < 4; ++i) {
       endpoints_.push_back({"127.0.0.1", free_port()});
     }
-    // Founding goes by address; on one machine they differ by their last number.
+    // Only the first seed bootstraps the fleet, and members recognize it by its address. On one machine, the
+    // addresses differ in their last number.
     for (size_t i = 0; i < endpoints_.size(); ++i) {
       endpoints_[i].address = "127.0.0." + std::to_string(i + 1);
     }
@@ -116,27 +121,31 @@
   }
   ~MembersFixture() override {
     members_.clear();
-    std::filesystem::remove_all(root_);
+    std::filesystem::remove_all(directory_);
   }
-  std::string folder(size_t position) const { return (root_ / std::to_string(position)).string(); }
-  void start(size_t position, bool first_start) {
-    members_[position] =
-        std::make_unique<MemberThread>(endpoints_[position], seeds_, folder(position), first_start);
+  /// Returns the data directory of a member.
+  std::string folder(size_t index) const { return (directory_ / std::to_string(index)).string(); }
+  /// `first_start`: the member may bootstrap a new fleet.
+  void start(size_t index, bool first_start) {
+    members_[index] = std::make_unique<MemberThread>(endpoints_[index], seeds_, folder(index), first_start);
   }
+  /// Starts the seeds for the first time.
   void start_all() {
     for (size_t i = 0; i < 3; ++i) {
       start(i, true);
     }
   }
+  /// Returns the command to put a configuration in force whose document is "v" and the version.
   static fleet::PutConfiguration put(uint64_t version) {
     fleet::PutConfiguration command;
     command.configuration.version = version;
     command.source = "v" + std::to_string(version);
     return command;
   }
+  /// Waits until the condition holds. Returns false if it does not within 10 s.
   template <typename Condition>
   static bool eventually(const Condition& condition) {
-    for (int tries = 0; tries < 400; ++tries) {
+    for (int attempt = 0; attempt < 400; ++attempt) {
       if (condition()) {
         return true;
       }
@@ -144,14 +153,15 @@
     }
     return false;
   }
-  bool commit_somewhere(uint64_t version, size_t position) {
-    return eventually([&] { return members_[position]->commit(put(version)); });
+  /// Retries to commit a configuration through one member. Returns false if that does not succeed in time.
+  bool commit_somewhere(uint64_t version, size_t index) {
+    return eventually([&] { return members_[index]->commit(put(version)); });
   }
 
-  std::filesystem::path root_;
+  std::filesystem::path directory_;
   std::vector<Endpoint> endpoints_;
   std::vector<Endpoint> seeds_;
-  std::map<size_t, std::unique_ptr<MemberThread>> members_;
+  std::map<size_t, std::unique_ptr<MemberThread>> members_;  ///< those that run, by index
 };
 
 }  // namespace stoat::test
--- a/tests/support/paths.h
+++ b/tests/support/paths.h
@@ -1,13 +1,13 @@
-/// Where a test finds the built programs and the files of the source tree.
+/// Paths of the built programs and of the source tree, for tests.
 #pragma once
 
 #include <string>
 
 namespace stoat::test {
 
-/// The folder of the built programs.
+/// Returns the directory that contains the built programs.
 std::string program_folder();
-/// The root of the source tree.
+/// Returns the root directory of the source tree.
 std::string source_folder();
 
 }  // namespace stoat::test
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -1,5 +1,6 @@
-/// Routers, the leader of control, and one back end with a limit, in simulated time: messages are delayed and
-/// lost, the leader changes, routers restart and freeze. Every send is noted.
+/// A simulation of routers, the leaders of the control plane, and one backend with a rate limit, in simulated
+/// time. Messages are delayed and lost, the leader changes, and routers restart and freeze. Every request
+/// sent to the backend is recorded.
 #pragma once
 
 #include <algorithm>
@@ -17,19 +18,20 @@
 
 namespace stoat::test {
 
-/// Settings of a simulated fleet.
+/// Settings of the simulation.
 struct PermitFleetOptions {
   size_t routers = 7;
-  double limit = 1.2;          ///< requests a second from all routers
-  double demand = 4;           ///< requests a second at each router that would go to the back end
-  Duration most_delay = 20ms;  ///< of a message
-  double loss = 0;             ///< chance that a message is lost
+  double limit = 1.2;          ///< of the backend, in requests per second from all routers together
+  double demand = 4;           ///< requests per second for the backend that arrive at each router
+  Duration most_delay = 20ms;  ///< maximum delay of a message
+  double loss = 0;             ///< probability that a message is lost
   uint64_t seed = 1;
 };
 
-/// See the head of this file.
+/// See the top of this file.
 class PermitFleet {
  public:
+  /// Length of the window in which sent requests are counted.
   static constexpr Duration kWindow = 4s;
 
   explicit PermitFleet(const PermitFleetOptions& options) : options_(options), random_(options.seed) {
@@ -40,22 +42,23 @@
     }
   }
 
-  void run_for(Duration span) {
-    for (const TimePoint end = now_ + span; now_ < end;) {
+  void run_for(Duration duration) {
+    for (const TimePoint end = now_ + duration; now_ < end;) {
       step();
     }
   }
-  /// A router starts anew, and is told the limit with its first feed.
+  /// Restarts a router. It receives the limit from the control plane with its first update.
   void restart_router(size_t index) {
     Router& router = routers_[index];
     router.limits = std::make_unique<admission::BackendLimits>();
     router.limits->note_told({"b", options_.limit}, now_);
-    router.next_request = now_ + from_seconds(random_.exponential(1 / options_.demand));
-    ++router.start;
+    router.next_request_at = now_ + from_seconds(random_.exponential(1 / options_.demand));
+    ++router.start_count;
   }
-  /// A router does nothing, and reads what came in meanwhile when it goes on.
-  void freeze_router(size_t index, Duration span) { routers_[index].frozen_until = now_ + span; }
-  /// Another member leads at once. The former leader, cut off, still answers for as long as it may.
+  /// Suspends a router for a time. It then processes the answers that arrived meanwhile.
+  void freeze_router(size_t index, Duration duration) { routers_[index].frozen_until = now_ + duration; }
+  /// Makes another member the leader immediately. The previous leader is cut off from the other members, but
+  /// continues to grant permits for kPermitLease.
   void change_leader() {
     if (!leaders_.empty()) {
       leaders_.back().grants_until = now_ + admission::kPermitLease;
@@ -64,27 +67,30 @@
     leaders_.back().book.begin(now_);
   }
 
-  /// The most sends in any window so far.
-  size_t most_in_window() const { return most_; }
-  size_t sent() const { return total_; }
-  /// Questions that came to leaders.
-  size_t questions() const { return questions_; }
+  /// Returns the maximum number of requests sent within any window so far.
+  size_t most_in_window() const { return max_in_window_; }
+  /// Returns the total number of requests sent.
+  size_t sent() const { return total_sent_; }
+  /// Returns the number of permit requests that reached a current or previous leader.
+  size_t questions() const { return permit_requests_; }
 
  private:
   static constexpr Duration kStep = 5ms;
+  /// A member that is or was the leader.
   struct Leader {
     admission::PermitBook book;
     TimePoint grants_until = TimePoint::max();
   };
   struct Router {
     std::unique_ptr<admission::BackendLimits> limits;
-    TimePoint next_request{0};
+    TimePoint next_request_at{0};  ///< when the next request for the backend arrives
     TimePoint frozen_until{0};
-    uint64_t start = 0;
-    std::deque<fleet::PermitAnswer> inbox;
+    uint64_t start_count = 0;  ///< number of starts so far; answers to an earlier start are dropped
+    std::deque<fleet::PermitAnswer> received_answers;
   };
 
-  void later(std::function<void()> action) {
+  /// Delivers a message after a random delay by running `action`, unless the message is lost.
+  void send_message(std::function<void()> action) {
     if (!random_.chance(options_.loss)) {
       const Duration delay = Duration(random_.between(1000, options_.most_delay.count()));
       in_flight_.add(now_ + delay, std::move(action));
@@ -95,64 +101,65 @@
     in_flight_.run_due(now_);
     for (size_t index = 0; index < routers_.size(); ++index) {
       if (now_ >= routers_[index].frozen_until) {
-        serve(index);
+        run_router(index);
       }
     }
   }
-  void serve(size_t index) {
+  void run_router(size_t index) {
     Router& router = routers_[index];
-    for (; !router.inbox.empty(); router.inbox.pop_front()) {
-      router.limits->on_answer(router.inbox.front(), now_);
+    for (; !router.received_answers.empty(); router.received_answers.pop_front()) {
+      router.limits->on_answer(router.received_answers.front(), now_);
     }
-    for (; router.next_request <= now_;
-         router.next_request += from_seconds(random_.exponential(1 / options_.demand))) {
+    for (; router.next_request_at <= now_;
+         router.next_request_at += from_seconds(random_.exponential(1 / options_.demand))) {
       if (router.limits->spend("b", now_)) {
-        note_send();
+        record_send();
       } else if (router.limits->want("b", now_)) {
-        ask(index);
+        request_permits(index);
       }
     }
   }
-  void ask(size_t index) {
-    const fleet::PermitQuestion question = routers_[index].limits->take_question(now_);
-    // Some routers still take a former leader for the present one.
-    const size_t leader = random_.chance(0.5) ? leaders_.size() - 1 : random_.below(leaders_.size());
-    const uint64_t start = routers_[index].start;
-    later([this, index, question, leader, start] {
-      ++questions_;
-      fleet::PermitAnswer answer{question.number, {}};
-      for (const fleet::PermitWish& wish : question.wishes) {
-        if (now_ <= leaders_[leader].grants_until) {
-          const auto grant = leaders_[leader].book.ask(wish.backend, wish.per_second, wish.count, now_);
-          answer.terms.push_back({wish.backend, grant.count, to_milliseconds(grant.wait + 1ms - 1us)});
+  void request_permits(size_t index) {
+    const fleet::PermitQuestion permit_request = routers_[index].limits->take_question(now_);
+    // Some routers still send to a previous leader.
+    const size_t leader_index = random_.chance(0.5) ? leaders_.size() - 1 : random_.below(leaders_.size());
+    const uint64_t start_count = routers_[index].start_count;
+    send_message([this, index, permit_request, leader_index, start_count] {
+      ++permit_requests_;
+      fleet::PermitAnswer answer{permit_request.number, {}};
+      for (const fleet::PermitWish& wanted : permit_request.wishes) {
+        if (now_ <= leaders_[leader_index].grants_until) {
+          const auto grant =
+              leaders_[leader_index].book.ask(wanted.backend, wanted.per_second, wanted.count, now_);
+          answer.terms.push_back({wanted.backend, grant.count, to_milliseconds(grant.wait + 1ms - 1us)});
         }
       }
-      later([this, index, answer, start] {
-        if (routers_[index].start == start) {
-          routers_[index].inbox.push_back(answer);
+      send_message([this, index, answer, start_count] {
+        if (routers_[index].start_count == start_count) {
+          routers_[index].received_answers.push_back(answer);
         }
       });
     });
   }
-  void note_send() {
-    ++total_;
-    sends_.push_back(now_);
-    while (sends_.front() <= now_ - kWindow) {
-      sends_.pop_front();
+  void record_send() {
+    ++total_sent_;
+    recent_sends_.push_back(now_);
+    while (recent_sends_.front() <= now_ - kWindow) {
+      recent_sends_.pop_front();
     }
-    most_ = std::max(most_, sends_.size());
+    max_in_window_ = std::max(max_in_window_, recent_sends_.size());
   }
 
   PermitFleetOptions options_;
   Random random_;
   TimePoint now_{1s};
-  std::vector<Leader> leaders_;
+  std::vector<Leader> leaders_;  ///< the last one is the current leader
   std::vector<Router> routers_;
   DelayedActions in_flight_;
-  std::deque<TimePoint> sends_;  ///< of the last window
-  size_t most_ = 0;
-  size_t total_ = 0;
-  size_t questions_ = 0;
+  std::deque<TimePoint> recent_sends_;  ///< times of the requests sent within the last window
+  size_t max_in_window_ = 0;
+  size_t total_sent_ = 0;
+  size_t permit_requests_ = 0;
 };
 
 }  // namespace stoat::test
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -1,6 +1,6 @@
-/// A fleet of routers and control members as far as one tenant's quota concerns them, in simulated time:
-/// messages are delayed, links are cut, processes restart. Every run is noted, and the bound that holds over
-/// the whole fleet is checked after each step.
+/// A simulation of how routers and control members enforce the quota of one tenant, in simulated time.
+/// Messages are delayed and lost, links are cut, and processes restart. Every admitted request is recorded,
+/// and its cost is compared with the fleet-wide spending bound after each step.
 #pragma once
 
 #include <algorithm>
@@ -18,27 +18,28 @@
 
 namespace stoat::test {
 
-/// The most that a quota lets a tenant spend in any window.
-inline double bound_of(const fleet::TenantQuota& quota, const admission::QuotaTolerance& tolerance) {
+/// Returns the maximum amount that a tenant may spend within any window under a quota.
+inline double max_spending_per_window(const fleet::TenantQuota& quota,
+                                      const admission::QuotaTolerance& tolerance) {
   return (quota.per_second * to_seconds(tolerance.window) + quota.burst) * (1 + tolerance.overage) +
          tolerance.slack;
 }
 
-/// Settings of a simulated fleet.
+/// Settings of the simulation.
 struct QuotaFleetOptions {
   size_t routers = 79;
   size_t members = 5;
-  double rate = 118000;
-  double burst = 118000;
-  double demand = 160000;   ///< tokens a second
-  double mean_cost = 9000;  ///< tokens of a request
-  double most_cost = 46000;
-  Duration delay = 3ms;  ///< of a message, besides waiting for the next round
+  double rate = 118000;      ///< of the quota, in tokens per second
+  double burst = 118000;     ///< of the quota, in tokens
+  double demand = 160000;    ///< of all requests, in tokens per second
+  double mean_cost = 9000;   ///< of a request, in tokens
+  double most_cost = 46000;  ///< maximum cost of a request, in tokens
+  Duration delay = 3ms;      ///< of a message, in addition to the wait for the next round of messages
   admission::QuotaTolerance tolerance{8s, 0.1, 110000};
   uint64_t seed = 1;
 };
 
-/// See the head of this file.
+/// See the top of this file.
 class QuotaFleet {
  public:
   explicit QuotaFleet(const QuotaFleetOptions& options) : options_(options), random_(options.seed) {
@@ -46,7 +47,7 @@
     quota_.burst = options.burst;
     quota_.unit = fleet::QuotaUnit::kTokens;
     for (size_t index = 0; index < options.members; ++index) {
-      members_.push_back(std::make_unique<Member>(options_.tolerance, ++starts_, now_));
+      members_.push_back(std::make_unique<Member>(options_.tolerance, ++last_start_id_, now_));
       members_.back()->book.configure(tenants(), now_);
     }
     for (size_t index = 0; index < options.routers; ++index) {
@@ -55,29 +56,30 @@
     }
   }
 
-  /// Lets time pass, with requests coming in.
-  void run_for(Duration span) {
-    const TimePoint end = now_ + span;
+  /// Advances time, with requests arriving.
+  void run_for(Duration duration) {
+    const TimePoint end = now_ + duration;
     while (now_ < end) {
       step();
     }
   }
-  /// Lets time pass without requests.
-  void rest_for(Duration span) {
-    const double demand = std::exchange(options_.demand, 0);
-    run_for(span);
-    options_.demand = demand;
+  /// Advances time without requests.
+  void rest_for(Duration duration) {
+    const double saved_demand = std::exchange(options_.demand, 0);
+    run_for(duration);
+    options_.demand = saved_demand;
   }
 
   void set_demand(double demand) { options_.demand = demand; }
-  /// Requests of one router only, or of all (SIZE_MAX).
-  void set_only_router(size_t router) { only_router_ = router; }
+  /// Sends all requests to one router; SIZE_MAX: spreads them over all routers.
+  void set_only_router(size_t router) { target_router_ = router; }
+  /// Changes the rate of the quota, and sets its burst to one second of the rate.
   void set_rate(double rate) {
-    const double before = std::max(quota_.per_second, allowed_rate_);
+    const double highest_rate = std::max(quota_.per_second, earlier_rate_);
     quota_.per_second = rate;
     quota_.burst = rate;
-    allowed_rate_ = before;
-    allowed_until_ = now_ + kConfigurationTime + options_.tolerance.window;
+    earlier_rate_ = highest_rate;
+    earlier_rate_until_ = now_ + kConfigurationDelay + options_.tolerance.window;
     for (auto& member : members_) {
       member->book.configure(tenants(), now_);
     }
@@ -90,61 +92,73 @@
     start_gate(*routers_[index]);
   }
   void restart_member(size_t index) {
-    members_[index] = std::make_unique<Member>(options_.tolerance, ++starts_, now_);
+    members_[index] = std::make_unique<Member>(options_.tolerance, ++last_start_id_, now_);
     members_[index]->book.configure(tenants(), now_);
     for (auto& router : routers_) {
-      router->told.erase(index);
+      router->received_revisions.erase(index);
     }
   }
-  /// A router that reaches no member serves for as long as its keys are honoured.
+  /// Cuts a router off from all members, or reconnects it. While cut off, it accepts requests until its key
+  /// lease ends.
   void cut_router(size_t index, bool cut) {
     routers_[index]->cut = cut;
-    routers_[index]->since = now_;
+    routers_[index]->link_changed_at = now_;
   }
+  /// Cuts a member off from all routers and members, or reconnects it.
   void cut_member(size_t index, bool cut) {
     members_[index]->cut = cut;
-    members_[index]->since = now_;
+    members_[index]->link_changed_at = now_;
   }
-  /// A member that the others don't hear; routers reach it.
+  /// Cuts a member off from the other members only, or reconnects it.
   void isolate_member(size_t index, bool isolated) {
     members_[index]->isolated = isolated;
-    members_[index]->since = now_;
+    members_[index]->link_changed_at = now_;
   }
-  /// Messages are lost with this chance; what was lost between members is asked for anew.
+  /// Sets the probability that a message between members is lost. After a detected loss, all sums are sent
+  /// again.
   void set_loss(double chance) { loss_ = chance; }
 
-  double worst_share_of_bound() const { return worst_share_; }
-  double served() const { return served_; }
-  double asked() const { return asked_; }
-  size_t refused() const { return refused_; }
-  void forget_counts() { served_ = asked_ = 0, refused_ = 0; }
+  /// Returns the maximum of spending within a window, as a fraction of the bound; above 1 it was exceeded.
+  double worst_share_of_bound() const { return max_fraction_of_bound_; }
+  /// Returns the cost of the admitted requests, in tokens.
+  double served() const { return admitted_tokens_; }
+  /// Returns the cost of all requests, in tokens.
+  double asked() const { return requested_tokens_; }
+  /// Returns the number of requests refused because of the quota.
+  size_t refused() const { return refused_requests_; }
+  /// Resets the totals of requested and admitted tokens and of refused requests.
+  void forget_counts() { admitted_tokens_ = requested_tokens_ = 0, refused_requests_ = 0; }
   size_t router_count() const { return routers_.size(); }
   size_t member_count() const { return members_.size(); }
 
  private:
   static constexpr Duration kStep = 10ms;
+  /// How long a router accepts access keys without contact to a member.
   static constexpr Duration kKeyLease = 4500ms;
-  static constexpr Duration kRouterSilence = 1500ms;      ///< until a member notices that a router is cut off
-  static constexpr Duration kMemberSilence = 600ms;       ///< the same of another member
-  static constexpr Duration kConfigurationTime = 2500ms;  ///< until a configuration is in force everywhere
+  /// Time until members notice that a router is cut off.
+  static constexpr Duration kRouterTimeout = 1500ms;
+  /// Time until members notice that another member is cut off or isolated.
+  static constexpr Duration kMemberTimeout = 600ms;
+  /// Time until a new configuration is in force everywhere.
+  static constexpr Duration kConfigurationDelay = 2500ms;
 
   struct Member {
     Member(const admission::QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
         : book(tolerance, start_id, now) {}
     admission::QuotaBook book;
-    bool cut = false;                 ///< from all
-    bool isolated = false;            ///< from the other members
-    TimePoint since{0};               ///< of either
-    std::map<size_t, bool> complete;  ///< by peer: nothing of it is missing
+    bool cut = false;                ///< cut off from all routers and members
+    bool isolated = false;           ///< cut off from the other members
+    TimePoint link_changed_at{0};    ///< last change of `cut` or `isolated`
+    std::map<size_t, bool> in_sync;  ///< by peer: no update from it has been lost since it last sent all sums
   };
   struct Router {
     Router(const admission::QuotaTolerance& tolerance, uint64_t seed) : gate(tolerance, seed) {}
     admission::QuotaGate gate;
     bool cut = false;
-    TimePoint since{0};  ///< of the cut
-    TimePoint heard{0};
-    size_t follows = SIZE_MAX;
-    std::map<size_t, uint64_t> told;  ///< revision, by member
+    TimePoint link_changed_at{0};                   ///< last change of `cut`
+    TimePoint last_contact{0};                      ///< last contact with a member
+    size_t followed_member = SIZE_MAX;              ///< member that sends it the levels; SIZE_MAX: none yet
+    std::map<size_t, uint64_t> received_revisions;  ///< last revision of the levels received, by member
   };
 
   std::vector<fleet::Tenant> tenants() const {
@@ -156,9 +170,10 @@
   void start_gate(Router& router) {
     router.gate.configure(tenants());
     router.gate.set_router_count(static_cast<uint32_t>(options_.routers));
-    router.heard = now_;
+    router.last_contact = now_;
   }
-  void later(std::function<void()> action) {
+  /// Delivers a message after the delay by running `action`, unless the message is lost.
+  void send_message(std::function<void()> action) {
     if (!random_.chance(loss_)) {
       in_flight_.add(now_ + options_.delay, std::move(action));
     }
@@ -170,15 +185,15 @@
     const int64_t tick = now_ / kStep;
     for (size_t index = 0; index < routers_.size(); ++index) {
       if ((tick + static_cast<int64_t>(index)) % 10 == 0) {
-        tell(index);
+        report_spending(index);
       }
       if ((tick + static_cast<int64_t>(index)) % 40 == 0) {
-        confirm(index);
+        confirm_reports(index);
       }
     }
     if (tick % 5 == 0) {
-      exchange();
-      feed();
+      exchange_sums();
+      send_all_levels();
     }
     if (tick % 10 == 0) {
       for (size_t index = 0; index < members_.size(); ++index) {
@@ -186,152 +201,164 @@
       }
     }
     make_requests();
-    check();
+    check_bound();
   }
 
   void make_requests() {
-    double due = options_.demand * to_seconds(kStep) + left_over_;
-    while (due > 0) {
+    double remaining_demand = options_.demand * to_seconds(kStep) + remaining_demand_;
+    while (remaining_demand > 0) {
       const double cost = std::min(options_.most_cost, 1 + random_.exponential(options_.mean_cost));
-      due -= cost;
-      const size_t index = only_router_ == SIZE_MAX ? random_.below(routers_.size()) : only_router_;
-      ask(*routers_[index], static_cast<int64_t>(cost));
+      remaining_demand -= cost;
+      const size_t index = target_router_ == SIZE_MAX ? random_.below(routers_.size()) : target_router_;
+      handle_request(*routers_[index], static_cast<int64_t>(cost));
     }
-    left_over_ = due;
+    remaining_demand_ = remaining_demand;
   }
-  void ask(Router& router, int64_t cost) {
-    asked_ += static_cast<double>(cost);
-    if (now_ - router.heard > kKeyLease || router.follows == SIZE_MAX) {
-      return;  // it honours no keys
+  void handle_request(Router& router, int64_t cost) {
+    requested_tokens_ += static_cast<double>(cost);
+    if (now_ - router.last_contact > kKeyLease || router.followed_member == SIZE_MAX) {
+      return;  // the router accepts no access keys
     }
     if (!router.gate.admit("t", cost, now_).admitted) {
-      ++refused_;
+      ++refused_requests_;
       return;
     }
-    served_ += static_cast<double>(cost);
-    runs_.emplace_back(now_, static_cast<double>(cost));
-    in_window_ += static_cast<double>(cost);
+    admitted_tokens_ += static_cast<double>(cost);
+    admitted_requests_.emplace_back(now_, static_cast<double>(cost));
+    spent_in_window_ += static_cast<double>(cost);
   }
-  void check() {
-    while (!runs_.empty() && runs_.front().first <= now_ - options_.tolerance.window) {
-      in_window_ -= runs_.front().second;
-      runs_.pop_front();
+  /// Compares the spending within the last window with the bound.
+  void check_bound() {
+    while (!admitted_requests_.empty() &&
+           admitted_requests_.front().first <= now_ - options_.tolerance.window) {
+      spent_in_window_ -= admitted_requests_.front().second;
+      admitted_requests_.pop_front();
     }
     fleet::TenantQuota allowed = quota_;
-    if (now_ < allowed_until_) {  // a lower limit takes hold one window later
-      allowed.per_second = allowed.burst = std::max(allowed.per_second, allowed_rate_);
+    if (now_ < earlier_rate_until_) {  // a lower limit takes effect one window later
+      allowed.per_second = allowed.burst = std::max(allowed.per_second, earlier_rate_);
     }
-    worst_share_ = std::max(worst_share_, in_window_ / bound_of(allowed, options_.tolerance));
+    max_fraction_of_bound_ = std::max(
+        max_fraction_of_bound_, spent_in_window_ / max_spending_per_window(allowed, options_.tolerance));
   }
 
-  /// The member that a router follows: by rendezvous among those that it reaches.
+  /// Returns the member that a router follows, among those that it reaches; SIZE_MAX if it reaches none.
+  /// Stands in for the rendezvous hashing of real routers.
   size_t choose_member(size_t router) const {
     if (routers_[router]->cut) {
       return SIZE_MAX;
     }
-    for (size_t step = 0; step < members_.size(); ++step) {
-      const size_t member = (router + step) % members_.size();
-      const Member& entry = *members_[member];
-      if (!entry.cut && !(entry.isolated && now_ - entry.since > 2s)) {
+    for (size_t offset = 0; offset < members_.size(); ++offset) {
+      const size_t member = (router + offset) % members_.size();
+      const Member& candidate = *members_[member];
+      if (!candidate.cut && !(candidate.isolated && now_ - candidate.link_changed_at > 2s)) {
         return member;
       }
     }
     return SIZE_MAX;
   }
-  bool talk(size_t left, size_t right) const {
-    const auto alone = [](const Member& member) { return member.cut || member.isolated; };
-    return left == right || (!alone(*members_[left]) && !alone(*members_[right]));
+  /// Returns whether two members can communicate.
+  bool can_communicate(size_t left, size_t right) const {
+    const auto disconnected = [](const Member& member) { return member.cut || member.isolated; };
+    return left == right || (!disconnected(*members_[left]) && !disconnected(*members_[right]));
   }
+  /// Returns the fraction of routers whose spending can't reach a member.
   double unheard_share(size_t index) const {
     double unheard = 0;
     for (const auto& router : routers_) {
-      const bool silent = router->cut && now_ - router->since > kRouterSilence;
-      if (silent && now_ - router->since < kKeyLease) {
+      const bool timed_out = router->cut && now_ - router->link_changed_at > kRouterTimeout;
+      if (timed_out && now_ - router->link_changed_at < kKeyLease) {
         unheard += admission::kAlonePart;
       }
-      const size_t follows = router->follows;
-      if (!router->cut && follows != SIZE_MAX && !talk(index, follows)) {
-        const TimePoint since = std::max(members_[index]->since, members_[follows]->since);
-        unheard += now_ - since > kMemberSilence ? 1 : 0;
+      const size_t followed_member = router->followed_member;
+      if (!router->cut && followed_member != SIZE_MAX && !can_communicate(index, followed_member)) {
+        const TimePoint link_changed_at =
+            std::max(members_[index]->link_changed_at, members_[followed_member]->link_changed_at);
+        unheard += now_ - link_changed_at > kMemberTimeout ? 1 : 0;
       }
     }
     return unheard / static_cast<double>(routers_.size());
   }
-  void tell(size_t index) {
+  /// Sends a router's spending since its previous report to the member that it follows.
+  void report_spending(size_t index) {
     Router& router = *routers_[index];
     const size_t member = choose_member(index);
     if (member == SIZE_MAX) {
-      router.follows = SIZE_MAX == router.follows ? SIZE_MAX : router.follows;
+      router.followed_member = SIZE_MAX == router.followed_member ? SIZE_MAX : router.followed_member;
       return;
     }
-    router.heard = now_;
-    if (router.follows != member || router.told.count(member) == 0) {
-      router.follows = member;
-      router.told[member] = 0;
+    router.last_contact = now_;
+    if (router.followed_member != member || router.received_revisions.count(member) == 0) {
+      router.followed_member = member;
+      router.received_revisions[member] = 0;
       router.gate.begin_feed();
-      feed_one(router, *members_[member], member);
+      send_levels(router, *members_[member], member);
     }
     if (router.gate.has_untold()) {
       auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_untold());
-      taken_[index] = batch->number;
+      last_report_numbers_[index] = batch->number;
       Member* target = members_[member].get();
-      const uint64_t start = target->book.start_id();
-      in_flight_.add(now_ + options_.delay, [this, member, start, batch] {
-        if (members_[member]->book.start_id() == start) {
+      const uint64_t member_start = target->book.start_id();
+      in_flight_.add(now_ + options_.delay, [this, member, member_start, batch] {
+        if (members_[member]->book.start_id() == member_start) {
           members_[member]->book.on_router(batch->spending, now_);
         }
       });
     }
   }
-  void confirm(size_t index) {
+  /// Confirms to a router that its last report was received.
+  void confirm_reports(size_t index) {
     if (choose_member(index) != SIZE_MAX) {
-      routers_[index]->gate.confirm(taken_[index]);
+      routers_[index]->gate.confirm(last_report_numbers_[index]);
     }
   }
-  void feed() {
+  void send_all_levels() {
     for (auto& router : routers_) {
-      if (!router->cut && router->follows != SIZE_MAX && !members_[router->follows]->cut) {
-        feed_one(*router, *members_[router->follows], router->follows);
+      if (!router->cut && router->followed_member != SIZE_MAX && !members_[router->followed_member]->cut) {
+        send_levels(*router, *members_[router->followed_member], router->followed_member);
       }
     }
   }
-  void feed_one(Router& router, Member& member, size_t index) {
+  /// Sends a router the levels that have changed since it last received any from the member.
+  void send_levels(Router& router, Member& member, size_t index) {
     router.gate.on_news(now_);
-    router.told[index] = member.book.told().visit_since(
-        router.told[index], SIZE_MAX, [&](const std::string&, const fleet::QuotaLevel* level) {
+    router.received_revisions[index] = member.book.told().visit_since(
+        router.received_revisions[index], SIZE_MAX, [&](const std::string&, const fleet::QuotaLevel* level) {
           if (level != nullptr) {
             router.gate.on_level(*level);
           }
         });
   }
-  void exchange() {
+  /// Sends the changed sums of each member to all others.
+  void exchange_sums() {
     for (size_t from = 0; from < members_.size(); ++from) {
-      const auto sums = members_[from]->book.take_changed_sums();
+      const auto changed_sums = members_[from]->book.take_changed_sums();
       for (size_t to = 0; to < members_.size(); ++to) {
         if (to == from) {
           continue;
         }
-        if (!talk(from, to) || random_.chance(loss_)) {
-          members_[to]->complete[from] = false;
+        if (!can_communicate(from, to) || random_.chance(loss_)) {
+          members_[to]->in_sync[from] = false;
           continue;
         }
-        tell_peer(from, to, sums);
+        send_to_peer(from, to, changed_sums);
       }
     }
   }
-  void tell_peer(size_t from, size_t to, const std::vector<fleet::TenantSpending>& sums) {
-    const uint64_t start = members_[from]->book.start_id();
-    bool& complete = members_[to]->complete[from];
-    const bool whole = !complete || known_starts_[{to, from}] != start;
-    complete = true;
-    known_starts_[{to, from}] = start;
-    const auto all = whole ? members_[from]->book.sums() : sums;
+  /// Sends a member's changed sums to another, or all sums if the other may have missed some.
+  void send_to_peer(size_t from, size_t to, const std::vector<fleet::TenantSpending>& changed_sums) {
+    const uint64_t member_start = members_[from]->book.start_id();
+    bool& in_sync = members_[to]->in_sync[from];
+    const bool send_all = !in_sync || known_start_ids_[{to, from}] != member_start;
+    in_sync = true;
+    known_start_ids_[{to, from}] = member_start;
+    const auto sent_sums = send_all ? members_[from]->book.sums() : changed_sums;
     const auto windows = members_[from]->book.windows(now_);
     const Duration age = members_[from]->book.age(now_);
-    const auto scope = whole ? admission::SumsScope::kAll : admission::SumsScope::kChanged;
-    later([this, from, to, start, whole, scope, all, windows, age] {
-      members_[to]->book.on_peer("m" + std::to_string(from), start, scope, all, now_);
-      if (whole) {
+    const auto scope = send_all ? admission::SumsScope::kAll : admission::SumsScope::kChanged;
+    send_message([this, from, to, member_start, send_all, scope, sent_sums, windows, age] {
+      members_[to]->book.on_peer("m" + std::to_string(from), member_start, scope, sent_sums, now_);
+      if (send_all) {
         members_[to]->book.adopt(windows, age, now_);
       }
     });
@@ -341,23 +368,23 @@
   Random random_;
   fleet::TenantQuota quota_;
   TimePoint now_{1s};
-  uint64_t starts_ = 0;
+  uint64_t last_start_id_ = 0;  ///< last start ID given to a member
   std::vector<std::unique_ptr<Member>> members_;
   std::vector<std::unique_ptr<Router>> routers_;
   DelayedActions in_flight_;
-  std::map<std::pair<size_t, size_t>, uint64_t> known_starts_;
-  std::map<size_t, uint64_t> taken_;
-  size_t only_router_ = SIZE_MAX;
+  std::map<std::pair<size_t, size_t>, uint64_t> known_start_ids_;  ///< by receiving and sending member
+  std::map<size_t, uint64_t> last_report_numbers_;                 ///< number of the last report, by router
+  size_t target_router_ = SIZE_MAX;
   double loss_ = 0;
-  double left_over_ = 0;
-  double allowed_rate_ = 0;
-  TimePoint allowed_until_{0};
-  std::deque<std::pair<TimePoint, double>> runs_;
-  double in_window_ = 0;
-  double worst_share_ = 0;
-  double served_ = 0;
-  double asked_ = 0;
-  size_t refused_ = 0;
+  double remaining_demand_ = 0;      ///< demand so far minus the cost of the requests, in tokens; at most 0
+  double earlier_rate_ = 0;          ///< highest rate before the last change
+  TimePoint earlier_rate_until_{0};  ///< until when spending may still follow that rate
+  std::deque<std::pair<TimePoint, double>> admitted_requests_;  ///< within the last window: time and cost
+  double spent_in_window_ = 0;
+  double max_fraction_of_bound_ = 0;
+  double admitted_tokens_ = 0;
+  double requested_tokens_ = 0;
+  size_t refused_requests_ = 0;
 };
 
 }  // namespace stoat::test
--- a/tests/support/raw_client.h
+++ b/tests/support/raw_client.h
@@ -1,4 +1,4 @@
-/// A caller that speaks in raw bytes over a blocking socket.
+/// A test client that sends and receives raw bytes over a blocking socket.
 #pragma once
 
 #include <arpa/inet.h>
@@ -12,7 +12,7 @@
 
 namespace stoat::test {
 
-/// One connection to a port of the loopback address.
+/// A connection to a port on the loopback address 127.0.0.1.
 class RawClient {
  public:
   explicit RawClient(uint16_t port) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -34,38 +34,42 @@
       socket_ = -1;
     }
   }
-  /// Reads until the input holds `text`, the other side closes, or the time is up.
-  std::string read_until(const std::string& text, std::chrono::milliseconds limit = std::chrono::seconds(5)) {
-    const auto until = std::chrono::steady_clock::now() + limit;
-    while (input_.find(text) == std::string::npos && !closed_ && std::chrono::steady_clock::now() < until) {
-      read_some(until);
+  /// Reads until the input contains `text`, the peer closes the connection, or the timeout expires. Returns
+  /// all input that has not been discarded.
+  std::string read_until(const std::string& text,
+                         std::chrono::milliseconds timeout = std::chrono::seconds(5)) {
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
+    while (input_.find(text) == std::string::npos && !closed_ &&
+           std::chrono::steady_clock::now() < deadline) {
+      read_some(deadline);
     }
     return input_;
   }
-  /// Reads until the other side closes or the time is up.
-  std::string read_all(std::chrono::milliseconds limit = std::chrono::seconds(5)) {
-    const auto until = std::chrono::steady_clock::now() + limit;
-    while (!closed_ && std::chrono::steady_clock::now() < until) {
-      read_some(until);
+  /// Reads until the peer closes the connection or the timeout expires. Returns the same as read_until().
+  std::string read_all(std::chrono::milliseconds timeout = std::chrono::seconds(5)) {
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
+    while (!closed_ && std::chrono::steady_clock::now() < deadline) {
+      read_some(deadline);
     }
     return input_;
   }
+  /// Returns whether the peer closed the connection, or reading from it failed.
   bool closed() const { return closed_; }
   void forget_input() { input_.clear(); }
 
  private:
-  void read_some(std::chrono::steady_clock::time_point until) {
-    const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
-    pollfd waiting{socket_, POLLIN, 0};
-    if (::poll(&waiting, 1, static_cast<int>(std::max<int64_t>(1, left.count()))) <= 0) {
+  void read_some(std::chrono::steady_clock::time_point deadline) {
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
+    pollfd poll_entry{socket_, POLLIN, 0};
+    if (::poll(&poll_entry, 1, static_cast<int>(std::max<int64_t>(1, remaining.count()))) <= 0) {
       return;
     }
-    char bytes[4096];
-    const ssize_t count = ::recv(socket_, bytes, sizeof(bytes), 0);
+    char buffer[4096];
+    const ssize_t count = ::recv(socket_, buffer, sizeof(buffer), 0);
     closed_ = count <= 0;
     if (count > 0) {
-      input_.append(bytes, static_cast<size_t>(count));
+      input_.append(buffer, static_cast<size_t>(count));
     }
   }
 
@@ -75,10 +79,11 @@
   std::string input_;
 };
 
-/// How often `text` stands in `whole`.
-inline size_t count_of(const std::string& whole, const std::string& text) {
+/// Counts the non-overlapping occurrences of `pattern` in `content`.
+inline size_t count_of(const std::string& content, const std::string& pattern) {
   size_t count = 0;
-  for (size_t at = whole.find(text); at != std::string::npos; at = whole.find(text, at + text.size())) {
+  for (size_t position = content.find(pattern); position != std::string::npos;
+       position = content.find(pattern, position + pattern.size())) {
     ++count;
   }
   return count;
--- a/tests/support/rollouts.h
+++ b/tests/support/rollouts.h
@@ -1,4 +1,4 @@
-/// An order that moves a service to another version, as tests begin with it.
+/// A rollout of a service from version v1 to v2, as a starting point for tests.
 #pragma once
 
 #include "src/fleet/service_rollout.h"
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -1,4 +1,4 @@
-/// A whole small fleet in one process: a control member, a router, and scripted engines.
+/// A small fleet in one process: a control member, one or more routers, and scripted engines.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 namespace stoat::test {
 
-/// Notes the orders and takes all of them.
+/// Records the orders to engines and accepts all of them. Provides no reports and no cache events.
 class NotedOrders : public control::EngineOrders {
  public:
   void send(const control::VersionOrder& order,
@@ -36,7 +36,7 @@
   std::vector<control::VersionOrder> orders;
 };
 
-/// Runs something on a loop's thread and gives its result.
+/// Runs `action` on the thread of an event loop, waits for it, and returns its result.
 template <typename Action>
 auto run_on(EventLoop& loop, Action action) {
   auto task = std::make_shared<std::packaged_task<decltype(action())()>>(std::move(action));
@@ -45,13 +45,14 @@
   return result.get();
 }
 
-/// The first port of those that tests listen at, and their number: below the range from which the kernel
-/// takes ports for outgoing connections (from 32768 on), any of which may be in use by the time a server
-/// listens.
+/// The first of the ports that tests listen on, and their number. They lie below the range from which the
+/// kernel takes ports for outgoing connections (32768 and above): any port in that range may be in use by the
+/// time a server listens on it.
 inline constexpr int kFirstTestPort = 15000;
-inline constexpr int kTestPorts = 16000;
-/// Ports that belong to one process: tests that run side by side have process ids close to one another.
-inline constexpr int kPortsOfProcess = 40;
+inline constexpr int kTestPortCount = 16000;
+/// Number of ports of each process. Tests that run in parallel have process IDs close to one another, so they
+/// use different ports.
+inline constexpr int kPortsPerProcess = 40;
 
 /// Returns whether no socket listens on the port on any local IPv4 address.
 inline bool is_free(uint16_t port) {
@@ -71,9 +72,9 @@
 /// process may take it before the caller listens on it.
 inline uint16_t free_port() {
   static int next = 0;
-  const int first = kFirstTestPort + ::getpid() * kPortsOfProcess % kTestPorts;
-  for (int tries = 0; tries < kPortsOfProcess; ++tries) {
-    const auto port = static_cast<uint16_t>(first + next++ % kPortsOfProcess);
+  const int first = kFirstTestPort + ::getpid() * kPortsPerProcess % kTestPortCount;
+  for (int attempt = 0; attempt < kPortsPerProcess; ++attempt) {
+    const auto port = static_cast<uint16_t>(first + next++ % kPortsPerProcess);
     if (is_free(port)) {
       return port;
     }
@@ -81,34 +82,35 @@
   throw std::runtime_error("no free port");
 }
 
-/// The headers that make an answer to a request the back end's own.
+/// Returns the headers that identify a response as the backend's own response to a request.
 inline std::string own_headers(const standins::SeenRequest& request) {
   return "X-Request-Id: " + request.header("X-Request-Id") + "\r\nX-Answer-Signature: s\r\n";
 }
 
-/// A scripted engine's success.
+/// Returns a script that answers a request with status 200.
 inline standins::Script succeed(const standins::SeenRequest& request, const std::string& body = "body") {
   return {standins::send_step(standins::whole_answer(200, own_headers(request), body))};
 }
 
-/// The status line's beginning of an answer: "HTTP/1.1 200".
+/// Returns the protocol version and status code of a response, such as "HTTP/1.1 200".
 inline std::string status_of(const std::string& answer) { return answer.substr(0, 12); }
 
-/// See the head of this file. Services: "models" (streams) and "calls". Routes of host "h": /safe/ and /once/
-/// to "calls", /stream/ (not resumable) and /resume/ to "models", /open/ without a key. Key "k1" is tenant
-/// "t1"'s, "k2" that of "t2", which is isolated.
+/// Test fixture; see the top of this file. The services are "models", which streams, and "calls". Host "h"
+/// has the routes /safe/, /once/ (unsafe) and /open/ (needs no key) to "calls", and /stream/ (not resumable)
+/// and /resume/ to "models". Key "k1" belongs to tenant "t1", key "k2" to tenant "t2", which is isolated.
 class SmallFleet : public ::testing::Test {
  protected:
-  /// `repeat_slack`: the repeats that the router may make besides a share of its requests. `status_interval`:
-  /// between the router's questions to control.
+  /// `repeat_slack`: number of repeats that the router may send in addition to a fraction of its requests.
+  /// `status_interval`: time between the router's status messages to the control plane.
   explicit SmallFleet(double repeat_slack = 100, Duration status_interval = 50ms) {
-    folder_ = std::filesystem::temp_directory_path() / ("stoat-small-fleet-" + std::to_string(::getpid()));
-    std::filesystem::remove_all(folder_);
+    data_folder_ =
+        std::filesystem::temp_directory_path() / ("stoat-small-fleet-" + std::to_string(::getpid()));
+    std::filesystem::remove_all(data_folder_);
     control::FleetControlSettings control;
     control.name = "c1";
     control.internal = {"127.0.0.1", free_port()};
     control.seeds = {control.internal};
-    control.data_folder = folder_.string();
+    control.data_folder = data_folder_.string();
     control.first_start = true;
     control.core.target_voters = 1;
     control.holder_lease = 0ms;
@@ -118,38 +120,39 @@
     router_settings_.budget.slack = repeat_slack;
     router_settings_.routers_settle = 0s;
     control_endpoint_ = control.internal;
-    control_ = std::make_unique<control::FleetServer>(control_loop_, control, orders_);
+    control_ = std::make_unique<control::FleetServer>(control_loop_, control, engine_orders_);
     router_ = make_router("r1");
     router_port_ = router_settings_.listen.port;
     control_thread_ = std::thread([this] { control_loop_.run(); });
-    thread_ = std::thread([this] { loop_.run(); });
+    router_thread_ = std::thread([this] { loop_.run(); });
   }
   ~SmallFleet() override {
     loop_.post([this] { loop_.stop(); });
-    thread_.join();
+    router_thread_.join();
     silence_control();
-    more_routers_.clear();
+    additional_routers_.clear();
     router_.reset();
     control_.reset();
-    std::filesystem::remove_all(folder_);
+    std::filesystem::remove_all(data_folder_);
   }
 
-  /// Lets control do nothing more, as when its machine is frozen.
+  /// Stops the control member's event loop, as if its machine were frozen.
   void silence_control() {
     if (control_thread_.joinable()) {
       control_loop_.post([this] { control_loop_.stop(); });
       control_thread_.join();
     }
   }
-  /// Runs something on the router's thread and gives its result.
+  /// Runs `action` on the routers' thread, waits for it, and returns its result.
   template <typename Action>
   auto on_loop(Action action) {
     return run_on(loop_, std::move(action));
   }
-  /// Waits until a condition, which runs on the loop's thread, holds.
+  /// Waits until the condition, evaluated on the routers' thread, holds. Returns false if it does not within
+  /// about 5 s.
   template <typename Condition>
   bool wait_for(const Condition& condition) {
-    for (int tries = 0; tries < 500; ++tries) {
+    for (int attempt = 0; attempt < 500; ++attempt) {
       if (on_loop([&] { return condition(); })) {
         return true;
       }
@@ -158,15 +161,15 @@
     return false;
   }
 
-  /// Starts another router beside the first, and gives its port once it is ready.
+  /// Starts an additional router and returns its port once it is ready.
   uint16_t add_router() {
-    const std::string name = "r" + std::to_string(more_routers_.size() + 2);
+    const std::string name = "r" + std::to_string(additional_routers_.size() + 2);
     on_loop([&] {
-      more_routers_.push_back(make_router(name));
+      additional_routers_.push_back(make_router(name));
       return true;
     });
     const uint16_t port = router_settings_.listen.port;
-    EXPECT_TRUE(wait_for([this] { return more_routers_.back()->ready(); }));
+    EXPECT_TRUE(wait_for([this] { return additional_routers_.back()->ready(); }));
     return port;
   }
   static fleet::Route make_route(const std::string& name, fleet::RouteKind kind, const std::string& service) {
@@ -199,10 +202,11 @@
     configuration.tenants = {{"t1", {"k1"}, 0, false}, {"t2", {"k2"}, 0, true}};
     return configuration;
   }
-  /// Puts a configuration in force at control, and waits until the router has it. False when that fails.
+  /// Commits a configuration at the control member and waits until the router is ready. Returns false if
+  /// either fails.
   bool configure(const fleet::FleetConfiguration& configuration) {
     bool committed = false;
-    for (int tries = 0; tries < 200 && !committed; ++tries) {
+    for (int attempt = 0; attempt < 200 && !committed; ++attempt) {
       auto result = std::make_shared<std::promise<bool>>();
       auto future = result->get_future();
       control_loop_.post([this, configuration, result] {
@@ -214,7 +218,8 @@
     }
     return committed && wait_for([this] { return router_->ready(); });
   }
-  /// Registers a scripted engine and waits until the router may use it.
+  /// Registers a scripted engine and waits until the router knows it. `weights`: version of its model's
+  /// weights.
   void add_engine(const std::string& id, const std::string& service, const standins::ScriptedEngine& engine,
                   uint64_t weights = 1) {
     fleet::BackendRecord record;
@@ -234,15 +239,15 @@
     });
     ASSERT_TRUE(wait_for([&] { return router_->knows_backend(id); }));
   }
-  /// Lets the engines that were added send another heartbeat: without any they count as lost after some
-  /// seconds.
+  /// Sends another heartbeat for each engine added with add_engine(). Without heartbeats, engines count as
+  /// lost after a few seconds.
   void beat() {
     for (fleet::BackendRecord& record : records_) {
       record.sequence = ++sequence_;
       run_on(control_loop_, [&] { return control_->heartbeat(record); });
     }
   }
-  /// Registers an engine for "calls" at an address, and waits until the router knows it.
+  /// Registers an engine of service "calls" at an address and waits until the router knows it.
   void add_engine_at(const std::string& id, const std::string& address) {
     fleet::BackendRecord record;
     record.id = id;
@@ -257,48 +262,50 @@
     });
     ASSERT_TRUE(wait_for([&] { return router_->knows_backend(id); }));
   }
-  /// The same where nothing listens.
+  /// Registers an engine of service "calls" at an address on which nothing listens.
   void add_dead_engine(const std::string& id) {
     add_engine_at(id, "127.0.0.1:" + std::to_string(free_port()));
   }
+  /// Returns the head of a request with a deadline of 2 s. `headers`: further headers, each ending in CR LF.
   std::string request(const std::string& method, const std::string& path, const std::string& id,
                       const std::string& headers = "", const std::string& key = "k1") {
     return method + " " + path + " HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id +
            "\r\nX-Deadline-Ms: 2000\r\nAuthorization: Bearer " + key + "\r\n" + headers + "\r\n";
   }
-  /// Sends one request on a new connection that is to close after it, and gives the whole answer.
+  /// Sends a request on a new connection that closes after it, and returns the whole response.
   std::string ask(const std::string& method, const std::string& path, const std::string& id,
                   const std::string& headers = "", const std::string& key = "k1") {
     RawClient client(router_port_);
     client.send(request(method, path, id, headers + "Connection: close\r\n", key));
     return client.read_all();
   }
-  /// The headers that make an answer the engine's own.
+  /// Returns the headers that identify a response as the engine's own response to the request with this ID.
   static std::string own(const std::string& id) {
     return "X-Request-Id: " + id + "\r\nX-Answer-Signature: s\r\n";
   }
 
+  /// Returns a new router that listens on a free port.
   std::unique_ptr<gateway::GatewayServer> make_router(const std::string& name) {
     router_settings_.name = name;
     router_settings_.listen = {"127.0.0.1", free_port()};
-    return std::make_unique<gateway::GatewayServer>(loop_, router_settings_, names_);
+    return std::make_unique<gateway::GatewayServer>(loop_, router_settings_, header_names_);
   }
 
   EventLoop control_loop_;
-  EventLoop loop_;
-  dispatch::HeaderNames names_;
-  gateway::GatewaySettings router_settings_;  ///< of the router that was made last
-  NotedOrders orders_;
-  std::filesystem::path folder_;
+  EventLoop loop_;  ///< of all routers
+  dispatch::HeaderNames header_names_;
+  gateway::GatewaySettings router_settings_;  ///< of the router created last
+  NotedOrders engine_orders_;
+  std::filesystem::path data_folder_;
   uint16_t router_port_ = 0;
-  Endpoint control_endpoint_;  ///< of the protocol between the system's own processes
+  Endpoint control_endpoint_;  ///< for the internal protocol between routers and control members
   uint64_t sequence_ = 0;
-  std::vector<fleet::BackendRecord> records_;  ///< of the engines that were added, as last sent
+  std::vector<fleet::BackendRecord> records_;  ///< last heartbeats of the engines added with add_engine()
   std::unique_ptr<control::FleetServer> control_;
   std::unique_ptr<gateway::GatewayServer> router_;
-  std::vector<std::unique_ptr<gateway::GatewayServer>> more_routers_;
+  std::vector<std::unique_ptr<gateway::GatewayServer>> additional_routers_;
   std::thread control_thread_;
-  std::thread thread_;
+  std::thread router_thread_;
 };
 
 }  // namespace stoat::test
