--- a/src/admission/backend_limits.cc
+++ b/src/admission/backend_limits.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 
 namespace stoat::admission {
 
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-std::optional<LimitChange> BackendLimits::note_named(const std::string& backend, double per_second,
-                                                     TimePoint now) {
+std::optional<LimitChange> BackendLimits::record_reported_limit(const std::string& backend, double per_second,
+                                                                TimePoint now) {
   LimitedBackend& limited = limited_backends_[backend];
   limited.limit_updated_at = now;
   const bool first_from_response = !std::exchange(limited.from_response, true);
@@ -36,7 +36,8 @@
   return before == per_second ? std::nullopt : std::optional(LimitChange{backend, per_second, before});
 }
 
-std::optional<LimitChange> BackendLimits::note_unnamed(const std::string& backend, TimePoint sent_at) {
+std::optional<LimitChange> BackendLimits::record_response_without_limit(const std::string& backend,
+                                                                        TimePoint sent_at) {
   const auto known = limited_backends_.find(backend);
   if (known == limited_backends_.end() || sent_at <= known->second.limit_updated_at) {
     return std::nullopt;
@@ -47,7 +48,8 @@
   return LimitChange{backend, 0, before};
 }
 
-std::optional<LimitChange> BackendLimits::note_told(const fleet::BackendLimit& reported, TimePoint now) {
+std::optional<LimitChange> BackendLimits::apply_shared_limit(const fleet::BackendLimit& reported,
+                                                             TimePoint now) {
   const auto known = limited_backends_.find(reported.backend);
   const double before = known == limited_backends_.end() ? 0 : known->second.per_second;
   const bool recently_from_response = known != limited_backends_.end() && known->second.from_response &&
@@ -121,7 +123,7 @@
   return permit_request_due(known->second, now);
 }
 
-std::optional<TimePoint> BackendLimits::next_chance(const std::string& backend, TimePoint now) const {
+std::optional<TimePoint> BackendLimits::earliest_send_time(const std::string& backend, TimePoint now) const {
   const auto known = limited_backends_.find(backend);
   if (known == limited_backends_.end()) {
     return now;
@@ -139,8 +141,8 @@
   return std::max<uint32_t>(1, static_cast<uint32_t>(usable));
 }
 
-fleet::PermitQuestion BackendLimits::take_question(TimePoint now) {
-  fleet::PermitQuestion question;
+fleet::PermitRequest BackendLimits::take_permit_request(TimePoint now) {
+  fleet::PermitRequest question;
   question.number = last_request_number_ + 1;
   for (auto& [backend, limited] : limited_backends_) {
     if (!permit_request_due(limited, now)) {
@@ -155,7 +157,7 @@
   return question;
 }
 
-void BackendLimits::apply_terms(LimitedBackend& limited, const fleet::PermitTerms& terms, TimePoint now) {
+void BackendLimits::apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now) {
   const Duration wait = Duration(1000 * std::max<int64_t>(0, terms.wait_ms));
   limited.denied = terms.count == 0;
   if (limited.denied) {
@@ -169,8 +171,8 @@
   limited.usable_until = limited.requested_at + wait + kPermitLifetime;
 }
 
-void BackendLimits::on_answer(const fleet::PermitAnswer& answer, TimePoint now) {
-  for (const fleet::PermitTerms& terms : answer.terms) {
+void BackendLimits::on_answer(const fleet::PermitResponse& answer, TimePoint now) {
+  for (const fleet::GrantedPermits& terms : answer.terms) {
     const auto known = limited_backends_.find(terms.backend);
     if (known != limited_backends_.end() && known->second.pending_request == answer.number) {
       known->second.pending_request = 0;
@@ -185,7 +187,7 @@
   }
 }
 
-std::vector<fleet::BackendLimit> BackendLimits::take_untold(bool include_all) {
+std::vector<fleet::BackendLimit> BackendLimits::take_unreported(bool include_all) {
   std::map<std::string, double> reported = std::exchange(unreported_, {});
   for (const auto& [backend, limited] : limited_backends_) {
     if (include_all && limited.from_response) {
@@ -195,8 +197,8 @@
   return fleet::to_list(reported);
 }
 
-std::vector<LimitUse> BackendLimits::take_use() {
-  std::vector<LimitUse> list;
+std::vector<LimitUsage> BackendLimits::take_usage() {
+  std::vector<LimitUsage> list;
   for (auto& [backend, limited] : limited_backends_) {
     const uint64_t sent = std::exchange(limited.sent, 0);
     if (sent > 0) {
--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -7,7 +7,7 @@
 /// reports one.
 ///
 /// Requests that may be tried at only one backend at a time are limited in the same way, under a key of their
-/// own (trial_key() in crash_book.h) instead of a backend ID.
+/// own (trial_key() in crash_history.h) instead of a backend ID.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +29,8 @@
   double before = 0;
 };
 
-/// Requests that this router has sent to a limited backend since the previous call of take_use().
-struct LimitUse {
+/// Requests that this router has sent to a limited backend since the previous call of take_usage().
+struct LimitUsage {
   std::string backend;
   double per_second = 0;
   uint64_t sent = 0;
@@ -40,13 +40,14 @@
 class BackendLimits {
  public:
   /// Records a limit that a backend reported in a response. Returns the change, if there is one.
-  std::optional<LimitChange> note_named(const std::string& backend, double per_second, TimePoint now);
+  std::optional<LimitChange> record_reported_limit(const std::string& backend, double per_second,
+                                                   TimePoint now);
   /// Records that a backend answered a request sent at `sent_at` without reporting a limit. A limit reported
   /// after `sent_at` stays in force, since responses on different connections can overtake one another.
-  std::optional<LimitChange> note_unnamed(const std::string& backend, TimePoint sent_at);
+  std::optional<LimitChange> record_response_without_limit(const std::string& backend, TimePoint sent_at);
   /// Applies a limit that another router learned and the control plane passed on; 0 means the limit was
   /// removed.
-  std::optional<LimitChange> note_told(const fleet::BackendLimit& reported, TimePoint now);
+  std::optional<LimitChange> apply_shared_limit(const fleet::BackendLimit& reported, TimePoint now);
   /// Drops a backend that no longer exists.
   void forget(const std::string& backend) { limited_backends_.erase(backend); }
   /// Returns the limit of a backend in requests per second; 0 if it has none.
@@ -64,21 +65,21 @@
   bool want(const std::string& backend, TimePoint now);
   /// Returns the earliest time at which a request may be sent to a backend; nullopt if this depends on an
   /// answer from the control plane that has not arrived yet.
-  std::optional<TimePoint> next_chance(const std::string& backend, TimePoint now) const;
+  std::optional<TimePoint> earliest_send_time(const std::string& backend, TimePoint now) const;
   /// Builds the permit request to send to the control plane now. Its list of wishes is empty if no permits
   /// are needed.
-  fleet::PermitQuestion take_question(TimePoint now);
+  fleet::PermitRequest take_permit_request(TimePoint now);
   /// Applies the answer to a permit request. Answers to requests that are no longer pending are ignored.
-  void on_answer(const fleet::PermitAnswer& answer, TimePoint now);
+  void on_answer(const fleet::PermitResponse& answer, TimePoint now);
 
   /// Returns whether there are limit changes that the control plane has not been sent.
-  bool has_untold() const { return !unreported_.empty(); }
+  bool has_unreported() const { return !unreported_.empty(); }
   /// Returns the limits that this router learned from responses, or saw removed, since the previous call.
   /// With `include_all`, returns all limits learned from responses, for a member that has received none yet.
-  std::vector<fleet::BackendLimit> take_untold(bool include_all);
+  std::vector<fleet::BackendLimit> take_unreported(bool include_all);
   /// Returns the number of requests sent to each limited backend since the previous call, leaving out
   /// backends that received none.
-  std::vector<LimitUse> take_use();
+  std::vector<LimitUsage> take_usage();
   size_t size() const { return limited_backends_.size(); }
 
  private:
@@ -87,7 +88,7 @@
     /// Time of the last response that reported the limit, or of the last update from the control plane.
     TimePoint limit_updated_at{0};
     bool from_response = false;  ///< true if the limit comes from a response to this router
-    uint64_t sent = 0;           ///< requests since take_use()
+    uint64_t sent = 0;           ///< requests since take_usage()
     uint32_t permits = 0;        ///< remaining from the last grant
     TimePoint usable_from{0};    ///< start of the permits' validity
     TimePoint usable_until{0};
@@ -101,7 +102,7 @@
   /// since the last permit request.
   static uint32_t usable_permits(const LimitedBackend& limited, TimePoint now);
   bool permit_request_due(const LimitedBackend& limited, TimePoint now) const;
-  void apply_terms(LimitedBackend& limited, const fleet::PermitTerms& terms, TimePoint now);
+  void apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now);
 
   std::map<std::string, LimitedBackend> limited_backends_;  ///< by backend ID
   std::map<std::string, double> unreported_;  ///< changes not yet sent to the control plane, by backend
--- a/src/admission/crash_book.h
+++ b/src/admission/crash_history.h
@@ -56,9 +56,9 @@
 };
 
 /// See the top of this file.
-class CrashBook {
+class CrashHistory {
  public:
-  explicit CrashBook(const QuarantineOptions& options = {}) : options_(options) {}
+  explicit CrashHistory(const QuarantineOptions& options = {}) : options_(options) {}
 
   /// Records an exchange that broke off at a backend that may have crashed. Returns true if this is new.
   bool note_broken_exchange(uint64_t request, const std::string& backend, TimePoint now);
@@ -67,7 +67,7 @@
   /// Records that a backend crashed while the request was in flight there. Returns true if this is new.
   bool note_crash(uint64_t request, const std::string& backend, TimePoint now);
   /// Records that the request completed successfully. Returns true if any crash counted against it.
-  bool acquit(uint64_t request, TimePoint now);
+  bool clear_crashes(uint64_t request, TimePoint now);
   /// Merges a record from another process. Returns true if this changes anything.
   bool merge(const fleet::CrashRecord& record, TimePoint now);
 
@@ -111,7 +111,7 @@
     TimePoint last_unconfirmed{0};
     uint32_t total() const { return confirmed + unconfirmed; }
   };
-  static Evidence evidence_of(const fleet::CrashNotice& notice);
+  static Evidence evidence_of(const fleet::CrashReport& notice);
   /// Adds a crash, or merges its evidence into a known one. Returns true if this changes anything.
   static bool merge_crash(Entry& entry, const std::string& backend, const Crash& crash);
   static CrashCount count_crashes(const Entry& entry, TimePoint now);
--- a/src/admission/load_admission.h
+++ b/src/admission/load_admission.h
@@ -26,13 +26,13 @@
   double taken_share = 0;
 };
 
-enum class Verdict : uint8_t { kSend, kWait, kRefuse };
+enum class AdmissionVerdict : uint8_t { kSend, kWait, kRefuse };
 
 /// Thresholds of the decision.
-struct LoadLimits {
+struct AdmissionThresholds {
   /// An engine queue up to this long costs nothing: routers learn of a free slot about 200 ms late, and the
   /// engine would be idle meanwhile.
-  Duration useful_queue = 200ms;
+  Duration max_useful_engine_queue = 200ms;
   /// Maximum time a request waits at the router. Engine loads are reported every 100 ms. After one round of
   /// reports, the router knows where slots became free; a request held longer only ends up behind those
   /// already queued at engines.
@@ -43,10 +43,10 @@
 };
 
 /// Decides about a request at time `now`; see the top of this file.
-Verdict decide(const RequestTimes& request, const ServiceOutlook& outlook, const LoadLimits& limits,
-               TimePoint now);
+AdmissionVerdict decide(const RequestTimes& request, const ServiceOutlook& outlook,
+                        const AdmissionThresholds& limits, TimePoint now);
 
 /// Returns the time until which a request may wait at the router for a slot.
-TimePoint wait_limit(const RequestTimes& request, const LoadLimits& limits);
+TimePoint wait_limit(const RequestTimes& request, const AdmissionThresholds& limits);
 
 }  // namespace stoat::admission
--- a/src/admission/permit_book.cc
+++ b/src/admission/permit_issuer.cc
@@ -1,15 +1,15 @@
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 
 #include <algorithm>
 
 namespace stoat::admission {
 
-void PermitBook::begin(TimePoint now) {
+void PermitIssuer::begin(TimePoint now) {
   backends_.clear();
   grants_from_ = now + kPermitTakeoverDelay;
 }
 
-PermitGrant PermitBook::ask(const std::string& backend, double per_second, uint32_t count, TimePoint now) {
+PermitGrant PermitIssuer::ask(const std::string& backend, double per_second, uint32_t count, TimePoint now) {
   if (count == 0 || per_second <= 0) {
     return {};
   }
@@ -27,7 +27,7 @@
   return {granted, start - now};
 }
 
-Duration PermitBook::deny(BackendPermits& permits, double per_second, TimePoint now) {
+Duration PermitIssuer::deny(BackendPermits& permits, double per_second, TimePoint now) {
   const TimePoint retry_at = std::max(permits.next_retry, permits.next_start);
   const Duration wait = retry_at - now - kPermitHorizon;
   if (wait >= kMaxPermitWait) {
@@ -37,7 +37,7 @@
   return wait;
 }
 
-void PermitBook::expire(TimePoint now) {
+void PermitIssuer::expire(TimePoint now) {
   std::erase_if(backends_, [now](const auto& entry) {
     return entry.second.next_start <= now && entry.second.next_retry <= now;
   });
--- a/src/admission/permit_book.h
+++ b/src/admission/permit_issuer.h
@@ -42,7 +42,7 @@
 };
 
 /// See the top of this file. Tracks only backends for which permits were requested recently.
-class PermitBook {
+class PermitIssuer {
  public:
   /// Called when this member becomes the leader. It has granted nothing yet, but the previous leader may
   /// have.
--- a/src/admission/quota_gate.cc
+++ b/src/admission/quota_enforcer.cc
@@ -1,4 +1,4 @@
-#include "src/admission/quota_gate.h"
+#include "src/admission/quota_enforcer.h"
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void QuotaGate::configure(const std::vector<fleet::Tenant>& tenants) {
+void QuotaEnforcer::configure(const std::vector<fleet::Tenant>& tenants) {
   std::map<std::string, Account> accounts;
   for (const fleet::Tenant& tenant : tenants) {
     if (!tenant.quota.limited()) {
@@ -36,7 +36,7 @@
   accounts_ = std::move(accounts);
 }
 
-void QuotaGate::on_level(const fleet::QuotaLevel& level) {
+void QuotaEnforcer::on_level(const fleet::QuotaLevel& level) {
   const auto found = accounts_.find(level.tenant);
   if (found == accounts_.end()) {
     return;  // the configuration that adds or removes this quota has not arrived yet
@@ -46,7 +46,7 @@
   account.last_level = static_cast<double>(level.level);
 }
 
-void QuotaGate::begin_feed() {
+void QuotaEnforcer::on_member_change() {
   for (auto& [tenant, account] : accounts_) {
     account.metered = false;
   }
@@ -57,7 +57,7 @@
   }
 }
 
-QuotaDecision QuotaGate::decide_by_level(const Account& account, int64_t cost, TimePoint now) {
+QuotaDecision QuotaEnforcer::decide_by_level(const Account& account, int64_t cost, TimePoint now) {
   const double left = account.last_level - account.recent.sum(now);
   if (random_.chance(std::clamp(left / (kRationingThreshold * account.allowance.burst), 0.0, 1.0))) {
     return {};
@@ -66,8 +66,8 @@
   return {false, std::max(kMinRetryDelay, from_seconds(missing / account.allowance.per_second))};
 }
 
-QuotaDecision QuotaGate::decide_without_control(Account& account, int64_t cost, TimePoint now) {
-  const double rate = kAlonePart * account.allowance.per_second / router_count_;
+QuotaDecision QuotaEnforcer::decide_without_control(Account& account, int64_t cost, TimePoint now) {
+  const double rate = kDisconnectedRateFraction * account.allowance.per_second / router_count_;
   const double max_accrued = kMaxAccrualS * rate;
   if (account.accrued_at < last_update_at_) {
     account.accrued = 0;
@@ -85,7 +85,7 @@
   return {false, std::max(kMinRetryDelay, from_seconds((needed - taken) / account.allowance.per_second))};
 }
 
-QuotaDecision QuotaGate::admit(const std::string& tenant, int64_t cost, TimePoint now) {
+QuotaDecision QuotaEnforcer::admit(const std::string& tenant, int64_t cost, TimePoint now) {
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) {
     return {};
@@ -102,7 +102,7 @@
   return decision;
 }
 
-void QuotaGate::charge(const std::string& tenant, int64_t cost, TimePoint now) {
+void QuotaEnforcer::charge(const std::string& tenant, int64_t cost, TimePoint now) {
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) {
     return;
@@ -111,7 +111,7 @@
   unreported_[tenant] += cost;
 }
 
-NumberedSpending QuotaGate::take_untold() {
+NumberedSpending QuotaEnforcer::take_unreported() {
   NumberedSpending batch;
   for (const auto& [tenant, amount] : std::exchange(unreported_, {})) {
     if (amount != 0) {
@@ -125,7 +125,7 @@
   return batch;
 }
 
-void QuotaGate::confirm(uint64_t number) {
+void QuotaEnforcer::confirm(uint64_t number) {
   while (!unconfirmed_.empty() && unconfirmed_.front().number <= number) {
     unconfirmed_.pop_front();
   }
--- a/src/admission/quota_gate.h
+++ b/src/admission/quota_enforcer.h
@@ -33,9 +33,9 @@
 };
 
 /// See the top of this file.
-class QuotaGate {
+class QuotaEnforcer {
  public:
-  QuotaGate(const QuotaTolerance& tolerance, uint64_t seed) : tolerance_(tolerance), random_(seed) {}
+  QuotaEnforcer(const QuotaTolerance& tolerance, uint64_t seed) : tolerance_(tolerance), random_(seed) {}
 
   /// Applies the quotas of a new configuration.
   void configure(const std::vector<fleet::Tenant>& tenants);
@@ -45,7 +45,7 @@
   void on_news(TimePoint now) { last_update_at_ = now; }
   /// Called when another member begins to send its levels. Unconfirmed spending will be reported to that
   /// member again.
-  void begin_feed();
+  void on_member_change();
   void set_router_count(uint32_t count) { router_count_ = std::max(1U, count); }
 
   /// Decides whether to admit a request, and charges it if admitted.
@@ -56,9 +56,9 @@
   void give_back(const std::string& tenant, int64_t cost, TimePoint now) { charge(tenant, -cost, now); }
 
   /// Returns whether there is spending to report.
-  bool has_untold() const { return !unreported_.empty(); }
+  bool has_unreported() const { return !unreported_.empty(); }
   /// Returns the spending to report now. It is kept until its number is confirmed.
-  NumberedSpending take_untold();
+  NumberedSpending take_unreported();
   /// Called when the member that sends the feed has received the spending with this number and all before it.
   void confirm(uint64_t number);
 
--- a/src/admission/quota_book.h
+++ b/src/admission/quota_ledger.h
@@ -33,10 +33,10 @@
 };
 
 /// See the top of this file.
-class QuotaBook {
+class QuotaLedger {
  public:
   /// `start_id`: differs at each start of the member.
-  QuotaBook(const QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
+  QuotaLedger(const QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
       : tolerance_(tolerance), start_id_(start_id), counting_since_(now) {}
 
   /// Applies the quotas of a new configuration. A lower quota takes effect after QuotaTolerance::lower_after;
--- a/src/admission/request_queue.h
+++ b/src/admission/request_queue.h
@@ -36,7 +36,7 @@
   /// Sends requests in order, as long as there is room.
   void send_ready();
   /// Returns true if no waiting request has the same or a higher urgency.
-  bool nothing_before(uint32_t urgency) const;
+  bool none_as_urgent(uint32_t urgency) const;
   size_t size() const { return queue_.size(); }
 
  private:
--- a/src/admission/return_schedule.cc
+++ b/src/admission/retry_scheduler.cc
@@ -1,4 +1,4 @@
-#include "src/admission/return_schedule.h"
+#include "src/admission/retry_scheduler.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void ReturnSchedule::drain(double per_second, TimePoint now) {
+void RetryScheduler::drain(double per_second, TimePoint now) {
   for (auto& [tenant, queue] : retry_queues_) {
     queue.length -=
         to_seconds(now - queue.updated_at) * per_second / static_cast<double>(retry_queues_.size());
@@ -25,7 +25,7 @@
   std::erase_if(retry_queues_, [](const auto& entry) { return entry.second.length <= 0; });
 }
 
-Duration ReturnSchedule::book(const RefusedRequest& request, double per_second, Random& random,
+Duration RetryScheduler::book(const RefusedRequest& request, double per_second, Random& random,
                               TimePoint now) {
   const double rate = std::max(kMinPerSecond, per_second);
   drain(rate, now);
@@ -40,7 +40,7 @@
   const double place = queue.length * relative_time_left + random.unit();
   queue.length += 1;
   const double own_rate = rate / static_cast<double>(retry_queues_.size());
-  return std::min(max_delay_, request.first_room + from_seconds(place / own_rate));
+  return std::min(max_delay_, request.time_to_room + from_seconds(place / own_rate));
 }
 
 }  // namespace stoat::admission
--- a/src/admission/return_schedule.h
+++ b/src/admission/retry_scheduler.h
@@ -17,15 +17,15 @@
 /// A refused request.
 struct RefusedRequest {
   std::string tenant;
-  Duration time_left{0};   ///< until its deadline
-  Duration first_room{0};  ///< until an engine is expected to have room for it
+  Duration time_left{0};     ///< until its deadline
+  Duration time_to_room{0};  ///< until an engine is expected to have room for it
 };
 
 /// See the top of this file. A router has one instance per service.
-class ReturnSchedule {
+class RetryScheduler {
  public:
   /// `max_delay`: upper bound on the delay given to any caller.
-  explicit ReturnSchedule(Duration max_delay) : max_delay_(max_delay) {}
+  explicit RetryScheduler(Duration max_delay) : max_delay_(max_delay) {}
 
   /// Returns the delay after which the caller is asked to retry. `per_second`: the rate of requests that the
   /// service takes from this router.
--- a/src/control/cache_duty.cc
+++ b/src/control/assigned_caches.cc
@@ -1,9 +1,9 @@
-#include "src/control/cache_duty.h"
+#include "src/control/assigned_caches.h"
 
 namespace stoat::control {
 
-bool CacheDuty::update(const BackendTable& backends, const StoreZones& stores,
-                       const std::vector<LiveMember>& members, TimePoint now) {
+bool AssignedCaches::update(const BackendTable& backends, const StoreZones& stores,
+                            const std::vector<LiveMember>& members, TimePoint now) {
   const bool full = members != members_ || stores != stores_ || !backends.reaches(revision_) ||
                     last_full_evaluation_ == TimePoint(0) ||
                     now - last_full_evaluation_ > kFullEvaluationInterval;
@@ -26,7 +26,7 @@
   return false;
 }
 
-void CacheDuty::evaluate_all(const BackendTable& backends) {
+void AssignedCaches::evaluate_all(const BackendTable& backends) {
   holders_.clear();
   assigned_.clear();
   removed_.clear();
@@ -38,17 +38,17 @@
   revision_ = backends.revision();
 }
 
-void CacheDuty::evaluate_backend(const std::string& id, const fleet::BackendRecord& record) {
+void AssignedCaches::evaluate_backend(const std::string& id, const fleet::BackendRecord& record) {
   if (!record.models.empty() && holders_.count(id) == 0) {
     evaluate(id, record.address, record.zone, false);
   }
 }
 
-void CacheDuty::evaluate(const std::string& holder, const std::string& address, const std::string& zone,
-                         bool store) {
+void AssignedCaches::evaluate(const std::string& holder, const std::string& address, const std::string& zone,
+                              bool store) {
   ++evaluations_;
   holders_.insert(holder);
-  if (follower_of(holder, zone, members_, topology_) == self_) {
+  if (responsible_member(holder, zone, members_, topology_) == self_) {
     assigned_[holder] = {address, store};
   }
 }
--- a/src/control/cache_duty.h
+++ b/src/control/assigned_caches.h
@@ -24,12 +24,12 @@
 };
 
 /// Maintains the set of caches assigned to this member.
-class CacheDuty {
+class AssignedCaches {
  public:
   using BackendTable = fleet::RevisionTable<std::string, fleet::BackendRecord>;
   using StoreZones = std::map<std::string, std::string>;  ///< zone of each store, by address
 
-  CacheDuty(std::string self, topology::Topology topology)
+  AssignedCaches(std::string self, topology::Topology topology)
       : self_(std::move(self)), topology_(std::move(topology)) {}
 
   /// Updates the assignment to the current state of the fleet. Returns true when all caches were
@@ -37,7 +37,7 @@
   bool update(const BackendTable& backends, const StoreZones& stores, const std::vector<LiveMember>& members,
               TimePoint now);
   /// Ids of the backends removed since the last call. A re-evaluation of all caches clears them.
-  std::vector<std::string> take_gone() { return std::exchange(removed_, {}); }
+  std::vector<std::string> take_removed_backends() { return std::exchange(removed_, {}); }
   /// True for any cache of the fleet, whichever member follows it.
   bool knows(const std::string& holder) const { return holders_.count(holder) > 0; }
   /// The caches assigned to this member, by holder: id of a backend, or address of a store.
--- a/src/control/limit_book.h
+++ b/src/control/backend_limit_table.h
@@ -12,7 +12,7 @@
 namespace stoat::control {
 
 /// Rate limits by backend. Backends without a limit have no entry.
-class LimitBook {
+class BackendLimitTable {
  public:
   /// Applies the limits that a router of this member reports.
   void on_router(const std::vector<fleet::BackendLimit>& limits) {
--- a/src/control/cache_assignment.h
+++ b/src/control/cache_assignment.h
@@ -20,7 +20,7 @@
 
 /// The address of the member responsible for a cache or a backend; empty when `members` is empty. `holder`:
 /// id of the backend, or address of the KV store. `zone`: where the holder runs.
-std::string follower_of(const std::string& holder, const std::string& zone,
-                        const std::vector<LiveMember>& members, const topology::Topology& topology);
+std::string responsible_member(const std::string& holder, const std::string& zone,
+                               const std::vector<LiveMember>& members, const topology::Topology& topology);
 
 }  // namespace stoat::control
--- a/src/control/cache_watch.cc
+++ b/src/control/cache_event_poller.cc
@@ -1,4 +1,4 @@
-#include "src/control/cache_watch.h"
+#include "src/control/cache_event_poller.h"
 
 #include <algorithm>
 #include <unordered_map>
@@ -20,12 +20,12 @@
 constexpr size_t kInitialReadsPerCall = 2;
 
 /// Keeps the last entry for each part only. If an entry for older weights follows one for newer weights, both
-/// are kept; CacheMirror ignores the older one where it does not apply. When the changes replace the full
+/// are kept; CacheIndex ignores the older one where it does not apply. When the changes replace the full
 /// contents, parts that are no longer held are omitted.
 void compact(fleet::CacheChanges& changes) {
   std::unordered_map<uint64_t, size_t> newest;  // index into `holdings`, by part
-  std::vector<fleet::PartHolding> holdings;
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  std::vector<fleet::CachedPart> holdings;
+  for (const fleet::CachedPart& holding : changes.holdings) {
     const auto [known, added] = newest.emplace(holding.part, holdings.size());
     if (!added && holdings[known->second].weights <= holding.weights) {
       holdings[known->second] = holding;
@@ -35,14 +35,14 @@
     holdings.push_back(holding);
   }
   if (changes.anew) {
-    std::erase_if(holdings, [](const fleet::PartHolding& holding) { return holding.tokens == 0; });
+    std::erase_if(holdings, [](const fleet::CachedPart& holding) { return holding.tokens == 0; });
   }
   changes.holdings = std::move(holdings);
 }
 
 }  // namespace
 
-void CacheWatch::follow(const std::vector<FollowedCache>& caches) {
+void CacheEventPoller::follow(const std::vector<FollowedCache>& caches) {
   std::map<std::string, const FollowedCache*> wanted;
   for (const FollowedCache& cache : caches) {
     wanted[cache.address] = &cache;
@@ -62,7 +62,7 @@
   }
 }
 
-void CacheWatch::poll(TimePoint now) {
+void CacheEventPoller::poll(TimePoint now) {
   const Duration interval =
       std::max(kMinPollInterval, kPollIntervalPerCache * static_cast<int64_t>(caches_.size()));
   std::vector<std::pair<TimePoint, const std::string*>> initial_reads;  // due times and addresses
@@ -85,31 +85,33 @@
   }
 }
 
-void CacheWatch::poll_cache(const std::string& address, Cache& cache, Duration interval, TimePoint now) {
+void CacheEventPoller::poll_cache(const std::string& address, Cache& cache, Duration interval,
+                                  TimePoint now) {
   cache.polling = true;
   const uint64_t generation = cache.generation;
-  engines_.follow_cache(address, cache.followed.next_event,
-                        [this, address, generation, interval, now](const CacheEvents* events) {
-                          const auto found = caches_.find(address);
-                          if (found == caches_.end() || found->second.generation != generation) {
-                            return;
-                          }
-                          Cache& polled = found->second;
-                          polled.polling = false;
-                          // Counted from the start of the poll: a long poll that was held open has already
-                          // waited.
-                          polled.next_poll = now + (events == nullptr ? kUnreachableRetryInterval : interval);
-                          on_events(polled, events);
-                        });
+  engines_.poll_cache_events(address, cache.followed.next_event,
+                             [this, address, generation, interval, now](const CacheEvents* events) {
+                               const auto found = caches_.find(address);
+                               if (found == caches_.end() || found->second.generation != generation) {
+                                 return;
+                               }
+                               Cache& polled = found->second;
+                               polled.polling = false;
+                               // Counted from the start of the poll: a long poll that was held open has
+                               // already waited.
+                               polled.next_poll =
+                                   now + (events == nullptr ? kUnreachableRetryInterval : interval);
+                               on_events(polled, events);
+                             });
 }
 
-void CacheWatch::discard_contents(Cache& cache) {
+void CacheEventPoller::discard_contents(Cache& cache) {
   cache.unreported.holdings.clear();
   cache.unreported.anew = true;
   cache.report_due = true;
 }
 
-void CacheWatch::on_events(Cache& cache, const CacheEvents* events) {
+void CacheEventPoller::on_events(Cache& cache, const CacheEvents* events) {
   const bool was_reachable = std::exchange(cache.reachable, events != nullptr);
   if (cache.reachable != was_reachable) {
     cache.report_due = true;
@@ -137,7 +139,7 @@
   }
 }
 
-std::vector<fleet::CacheChanges> CacheWatch::take_changes() {
+std::vector<fleet::CacheChanges> CacheEventPoller::take_changes() {
   std::vector<fleet::CacheChanges> list;
   for (auto& [address, cache] : caches_) {
     if (!std::exchange(cache.report_due, false)) {
--- a/src/control/cache_watch.h
+++ b/src/control/cache_event_poller.h
@@ -1,5 +1,5 @@
 /// Reads events from the KV caches of engines and stores by long polling. Each cache is polled by one control
-/// member only, however many routers there are; its changes go into the CacheMirror of every member.
+/// member only, however many routers there are; its changes go into the CacheIndex of every member.
 #pragma once
 
 #include <map>
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "src/common/time.h"
-#include "src/control/engine_orders.h"
+#include "src/control/engine_interface.h"
 #include "src/fleet/fleet_messages.h"
 
 namespace stoat::control {
@@ -17,15 +17,15 @@
   std::string holder;  ///< id of the engine, or address of the store
   std::string address;
   bool store = false;
-  uint64_t claim = 0;       ///< claim under which its changes are reported; see CacheMirror
+  uint64_t claim = 0;       ///< claim under which its changes are reported; see CacheIndex
   uint64_t epoch = 0;       ///< epoch reported by the previous follower; 0: read from the beginning
   uint64_t next_event = 0;  ///< position in that epoch, reported by the previous follower
 };
 
 /// Polls the followed caches and collects their changes.
-class CacheWatch {
+class CacheEventPoller {
  public:
-  explicit CacheWatch(EngineOrders& engines) : engines_(engines) {}
+  explicit CacheEventPoller(EngineInterface& engines) : engines_(engines) {}
 
   /// Sets the caches to follow. A cache that is already followed under the same claim continues undisturbed.
   void follow(const std::vector<FollowedCache>& caches);
@@ -50,7 +50,7 @@
   static void on_events(Cache& cache, const CacheEvents* events);
   static void discard_contents(Cache& cache);
 
-  EngineOrders& engines_;
+  EngineInterface& engines_;
   std::map<std::string, Cache> caches_;  ///< by address
   uint64_t last_generation_ = 0;
 };
--- a/src/control/cache_mirror.cc
+++ b/src/control/cache_index.cc
@@ -1,4 +1,4 @@
-#include "src/control/cache_mirror.h"
+#include "src/control/cache_index.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool CacheMirror::apply(const std::string& follower, const fleet::CacheChanges& changes) {
+bool CacheIndex::apply(const std::string& follower, const fleet::CacheChanges& changes) {
   Cache& cache = caches_[changes.holder];
   const bool other = follower != cache.follower;
   if (changes.claim < cache.claim ||
@@ -28,14 +28,14 @@
   if (changes.anew) {
     remove_parts(changes.holder, cache);
   }
-  for (const fleet::PartHolding& holding : changes.holdings) {
+  for (const fleet::CachedPart& holding : changes.holdings) {
     set_holding(changes.holder, cache, holding);
   }
   statuses_.set(changes.holder, {changes.store, changes.followed});
   return true;
 }
 
-void CacheMirror::set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding) {
+void CacheIndex::set_holding(const std::string& holder, Cache& cache, const fleet::CachedPart& holding) {
   const auto known = cache.parts.find(holding.part);
   if (known != cache.parts.end() && holding.weights < known->second.weights) {
     return;  // a store drops parts of old weights long after it received those of new weights
@@ -54,14 +54,14 @@
   }
 }
 
-void CacheMirror::remove_unshared_holder(const std::string& holder, uint64_t part) {
+void CacheIndex::remove_unshared_holder(const std::string& holder, uint64_t part) {
   const auto holders = unshared_holders_.find(part);
   if (holders != unshared_holders_.end() && holders->second.erase(holder) > 0 && holders->second.empty()) {
     unshared_holders_.erase(holders);
   }
 }
 
-void CacheMirror::remove_parts(const std::string& holder, Cache& cache) {
+void CacheIndex::remove_parts(const std::string& holder, Cache& cache) {
   for (const auto& [part, holding] : cache.parts) {
     shared_holdings_.erase({holder, part});
     remove_unshared_holder(holder, part);
@@ -69,7 +69,7 @@
   cache.parts.clear();
 }
 
-std::vector<uint64_t> CacheMirror::note_shared(const std::vector<uint64_t>& parts) {
+std::vector<uint64_t> CacheIndex::mark_shared(const std::vector<uint64_t>& parts) {
   if (shared_parts_.size() > kMaxSharedParts) {
     reset_shared_parts();
   }
@@ -91,7 +91,7 @@
   return added;
 }
 
-void CacheMirror::reset_shared_parts() {
+void CacheIndex::reset_shared_parts() {
   shared_parts_.clear();
   for (auto& [holder, cache] : caches_) {
     if (cache.follower != self_) {
@@ -107,18 +107,18 @@
   }
 }
 
-bool CacheMirror::told(const fleet::ChainPlacement& placement) const {
+bool CacheIndex::told(const fleet::ChainPlacement& placement) const {
   const Cache* cache = find(placement.holder);
   if (cache == nullptr || !cache->followed) {
     return false;
   }
   return std::all_of(placement.links.begin(), placement.links.end(), [&](uint64_t part) {
-    const fleet::PartHolding* held = shared_holdings_.find({placement.holder, part});
+    const fleet::CachedPart* held = shared_holdings_.find({placement.holder, part});
     return held != nullptr && held->weights >= placement.weights;
   });
 }
 
-void CacheMirror::lose_follower(const std::string& follower) {
+void CacheIndex::on_follower_lost(const std::string& follower) {
   for (auto& [holder, cache] : caches_) {
     if (cache.follower == follower && cache.followed) {
       cache.followed = false;
@@ -127,7 +127,7 @@
   }
 }
 
-void CacheMirror::drop(const std::string& holder) {
+void CacheIndex::drop(const std::string& holder) {
   const auto known = caches_.find(holder);
   if (known == caches_.end()) {
     return;
@@ -137,7 +137,7 @@
   caches_.erase(known);
 }
 
-void CacheMirror::keep(const std::function<bool(const std::string&)>& wanted) {
+void CacheIndex::keep(const std::function<bool(const std::string&)>& wanted) {
   std::vector<std::string> unwanted;
   for (const auto& [holder, cache] : caches_) {
     if (!wanted(holder)) {
@@ -149,12 +149,12 @@
   }
 }
 
-const CacheMirror::Cache* CacheMirror::find(const std::string& holder) const {
+const CacheIndex::Cache* CacheIndex::find(const std::string& holder) const {
   const auto found = caches_.find(holder);
   return found == caches_.end() ? nullptr : &found->second;
 }
 
-fleet::CacheChanges CacheMirror::whole(const std::string& holder) const {
+fleet::CacheChanges CacheIndex::whole(const std::string& holder) const {
   fleet::CacheChanges changes;
   changes.holder = holder;
   changes.anew = true;
@@ -171,7 +171,7 @@
   return changes;
 }
 
-std::vector<std::string> CacheMirror::followed_by(const std::string& follower) const {
+std::vector<std::string> CacheIndex::followed_by(const std::string& follower) const {
   std::vector<std::string> holders;
   for (const auto& [holder, cache] : caches_) {
     if (cache.follower == follower) {
--- a/src/control/cache_mirror.h
+++ b/src/control/cache_index.h
@@ -19,23 +19,23 @@
 namespace stoat::control {
 
 /// The status of a cache, as sent to routers.
-struct CacheHead {
+struct CacheStatus {
   bool store = false;
   bool followed = false;
-  bool operator==(const CacheHead&) const = default;
+  bool operator==(const CacheStatus&) const = default;
 };
 
 /// Key of one prompt part in one cache.
-struct HeldPart {
+struct HeldPartKey {
   std::string holder;
   uint64_t part = 0;
-  bool operator<(const HeldPart& other) const {
+  bool operator<(const HeldPartKey& other) const {
     return std::tie(holder, part) < std::tie(other.holder, other.part);
   }
 };
 
 /// Index of the prompt parts that each cache holds.
-class CacheMirror {
+class CacheIndex {
  public:
   /// State of one cache. When two members follow it, the one with the higher claim takes precedence; on equal
   /// claims the one with the greater address.
@@ -46,23 +46,23 @@
     bool followed = false;
     uint64_t epoch = 0;       ///< changes when the cache restarts
     uint64_t next_event = 0;  ///< the event to read next
-    std::unordered_map<uint64_t, fleet::PartHolding> parts;
+    std::unordered_map<uint64_t, fleet::CachedPart> parts;
   };
 
   /// `self`: internal address of this member.
-  explicit CacheMirror(std::string self = "") : self_(std::move(self)) {}
+  explicit CacheIndex(std::string self = "") : self_(std::move(self)) {}
 
   /// Applies changes reported by a follower. Returns false when another follower takes precedence.
   bool apply(const std::string& follower, const fleet::CacheChanges& changes);
   /// Marks prompt parts as shared; only shared parts are sent to routers. Returns those that were not marked
   /// yet.
-  std::vector<uint64_t> note_shared(const std::vector<uint64_t>& parts);
+  std::vector<uint64_t> mark_shared(const std::vector<uint64_t>& parts);
   bool shared(uint64_t part) const { return shared_parts_.count(part) > 0; }
   /// True when the cache is followed and routers already know that it holds all parts of the placement, made
   /// by the same or newer weights.
   bool told(const fleet::ChainPlacement& placement) const;
   /// Handles the loss of a member: the caches that it followed are no longer followed by any member.
-  void lose_follower(const std::string& follower);
+  void on_follower_lost(const std::string& follower);
   /// Removes a cache.
   void drop(const std::string& holder);
   /// Removes all caches for which `wanted` returns false.
@@ -76,13 +76,13 @@
   std::vector<std::string> followed_by(const std::string& follower) const;
   std::vector<uint64_t> shared_parts() const { return {shared_parts_.begin(), shared_parts_.end()}; }
 
-  const fleet::RevisionTable<std::string, CacheHead>& heads() const { return statuses_; }
-  const fleet::RevisionTable<HeldPart, fleet::PartHolding>& shared_holdings() const {
+  const fleet::RevisionTable<std::string, CacheStatus>& heads() const { return statuses_; }
+  const fleet::RevisionTable<HeldPartKey, fleet::CachedPart>& shared_holdings() const {
     return shared_holdings_;
   }
 
  private:
-  void set_holding(const std::string& holder, Cache& cache, const fleet::PartHolding& holding);
+  void set_holding(const std::string& holder, Cache& cache, const fleet::CachedPart& holding);
   void remove_parts(const std::string& holder, Cache& cache);
   void reset_shared_parts();
   void remove_unshared_holder(const std::string& holder, uint64_t part);
@@ -93,8 +93,8 @@
   /// Holders of parts that are not known to be shared. When a part becomes shared, its holders are found here
   /// without searching thousands of caches.
   std::unordered_map<uint64_t, std::set<std::string>> unshared_holders_;
-  fleet::RevisionTable<std::string, CacheHead> statuses_;
-  fleet::RevisionTable<HeldPart, fleet::PartHolding> shared_holdings_;
+  fleet::RevisionTable<std::string, CacheStatus> statuses_;
+  fleet::RevisionTable<HeldPartKey, fleet::CachedPart> shared_holdings_;
 };
 
 }  // namespace stoat::control
--- a/src/control/command.h
+++ b/src/control/command.h
@@ -9,14 +9,14 @@
 namespace stoat::control {
 
 /// Any command. New alternatives go at the end, since the encoding contains the index of the alternative.
-using Command = wire::Packed<fleet::PutConfiguration, fleet::NameWeights, fleet::RetireBackend,
+using Command = wire::Packed<fleet::PutConfiguration, fleet::SetTargetWeights, fleet::RetireBackend,
                              fleet::StartServiceRollout, fleet::StepServiceRollout>;
 
 /// Outcome of applying a command.
 enum class ResultCode : uint8_t {
   kOk,
-  kInvalid,   ///< the command contradicts the state; `message` gives the reason
-  kUnderWay,  ///< another rollout of the service is in progress; `message` names it
+  kInvalid,            ///< the command contradicts the state; `message` gives the reason
+  kRolloutInProgress,  ///< another rollout of the service is in progress; `message` names it
 };
 
 /// Result of applying a command, returned to its caller.
--- a/src/control/control_core.h
+++ b/src/control/control_core.h
@@ -17,8 +17,8 @@
 struct ControlOptions {
   consensus::ReplicaOptions replica;
   uint64_t entries_per_snapshot = 20000;
-  uint64_t learner_lag_entries = 200;  ///< maximum lag of a learner that may become a voter
-  size_t target_voters = 3;            ///< number of voters that the leader maintains; see member_planner.h
+  uint64_t max_learner_lag_entries = 200;  ///< maximum lag of a learner that may become a voter
+  size_t target_voters = 3;  ///< number of voters that the leader maintains; see member_planner.h
   PlannerOptions planner;
 };
 
--- a/src/control/crash_ledger.h
+++ b/src/control/crash_aggregator.h
@@ -6,13 +6,13 @@
 #include <utility>
 #include <vector>
 
-#include "src/admission/crash_book.h"
+#include "src/admission/crash_history.h"
 #include "src/fleet/revision_table.h"
 
 namespace stoat::control {
 
 /// Merges the crash records of routers and members, and publishes the suspect requests.
-class CrashLedger {
+class CrashAggregator {
  public:
   /// Merges the records that a router of this member reports.
   void on_router(const std::vector<fleet::CrashRecord>& records, TimePoint now) {
@@ -50,16 +50,16 @@
   }
   /// The requests that are reported to routers, by fingerprint, with the known crashes of each; their ages
   /// are zero.
-  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>>& told() const { return suspects_; }
+  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>>& told() const { return suspects_; }
 
  private:
   bool merge_record(const fleet::CrashRecord& record, TimePoint now) {
     if (!crash_book_.merge(record, now)) {
       return false;
     }
-    std::vector<fleet::CrashNotice> notices = crash_book_.record(record.request, now).crashes;
+    std::vector<fleet::CrashReport> notices = crash_book_.record(record.request, now).crashes;
     if (notices.size() >= admission::kSuspectCrashes) {
-      for (fleet::CrashNotice& notice : notices) {
+      for (fleet::CrashReport& notice : notices) {
         notice.age_ms = 0;  // a change of the age alone must not create a new revision
       }
       suspects_.set(record.request, notices);
@@ -67,8 +67,8 @@
     return true;
   }
 
-  admission::CrashBook crash_book_;
-  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashNotice>> suspects_;
+  admission::CrashHistory crash_book_;
+  fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>> suspects_;
   std::set<uint64_t> changed_;
 };
 
--- a/src/control/engine_orders.h
+++ b/src/control/engine_interface.h
@@ -13,7 +13,7 @@
 namespace stoat::control {
 
 /// An order to load a version of a model's weights. Running requests pause and continue with the new weights.
-struct VersionOrder {
+struct LoadWeightsOrder {
   std::string engine;   ///< id of the incarnation that the order is for
   std::string address;  ///< "address:port"
   std::string model;
@@ -25,23 +25,23 @@
 
 /// A cache's answer to a poll for events.
 struct CacheEvents {
-  uint64_t epoch = 0;                        ///< changes when the cache restarts, which empties it
-  uint64_t next_event = 0;                   ///< `since` of the next poll
-  bool gap = false;                          ///< events before these are no longer available
-  std::vector<fleet::PartHolding> holdings;  ///< in the order of the events
+  uint64_t epoch = 0;                       ///< changes when the cache restarts, which empties it
+  uint64_t next_event = 0;                  ///< `since` of the next poll
+  bool gap = false;                         ///< events before these are no longer available
+  std::vector<fleet::CachedPart> holdings;  ///< in the order of the events
 };
 
 /// Client of engines and KV stores. Each callback is called exactly once.
-class EngineOrders {
+class EngineInterface {
  public:
-  virtual ~EngineOrders() = default;
-  virtual void send(const VersionOrder& order, std::function<void(OrderAnswer)> on_answer) = 0;
+  virtual ~EngineInterface() = default;
+  virtual void send(const LoadWeightsOrder& order, std::function<void(OrderAnswer)> on_answer) = 0;
   /// Requests the report of an engine. `on_report` gets nullptr when no valid report was received.
   virtual void ask(const std::string& address, std::function<void(const EngineReport*)> on_report) = 0;
   /// Waits up to a second for events after number `since` in the cache of an engine or a store. `on_events`
   /// gets nullptr when no valid answer was received.
-  virtual void follow_cache(const std::string& address, uint64_t since,
-                            std::function<void(const CacheEvents*)> on_events) = 0;
+  virtual void poll_cache_events(const std::string& address, uint64_t since,
+                                 std::function<void(const CacheEvents*)> on_events) = 0;
 };
 
 }  // namespace stoat::control
--- a/src/control/fleet_bodies.cc
+++ b/src/control/fleet_bodies.cc
@@ -127,7 +127,7 @@
   return fleet::RouteKind::kUnsafe;
 }
 
-fleet::Route read_route(const json& object, const std::string& field_path, const BodyNames& names,
+fleet::Route read_route(const json& object, const std::string& field_path, const JsonFieldNames& names,
                         Findings& findings) {
   const FieldReader reader(object, field_path, findings);
   fleet::Route route;
@@ -155,7 +155,7 @@
   return route;
 }
 
-fleet::Service read_service(const json& object, const std::string& field_path, const BodyNames& names,
+fleet::Service read_service(const json& object, const std::string& field_path, const JsonFieldNames& names,
                             Findings& findings) {
   const FieldReader reader(object, field_path, findings);
   fleet::Service service;
@@ -194,7 +194,7 @@
   return limits;
 }
 
-fleet::TenantQuota read_quota(const FieldReader& reader, const BodyNames& names) {
+fleet::TenantQuota read_quota(const FieldReader& reader, const JsonFieldNames& names) {
   fleet::TenantQuota quota;
   quota.per_second = reader.number(names.quota_rate);
   quota.burst = reader.number(names.quota_burst);
@@ -208,7 +208,7 @@
   return quota;
 }
 
-fleet::Tenant read_tenant(const json& object, const std::string& field_path, const BodyNames& names,
+fleet::Tenant read_tenant(const json& object, const std::string& field_path, const JsonFieldNames& names,
                           Findings& findings) {
   const FieldReader reader(object, field_path, findings);
   fleet::Tenant tenant;
@@ -252,7 +252,7 @@
 
 /// Parses one event: [number, + or -, salt, part, tokens held now, model]. Returns nullopt for entries of
 /// other products in the same cache.
-std::optional<fleet::PartHolding> read_cache_event(const json& entry) {
+std::optional<fleet::CachedPart> read_cache_event(const json& entry) {
   constexpr size_t kSalt = 2;
   constexpr size_t kPart = 3;
   constexpr size_t kTokens = 4;
@@ -264,7 +264,7 @@
   if (!name) {
     return std::nullopt;
   }
-  fleet::PartHolding holding;
+  fleet::CachedPart holding;
   holding.part = placement::part_hash(name->owner, entry[kModel].get<std::string>(),
                                       hash_bytes(entry[kPart].get<std::string>()));
   holding.weights = name->weights;
@@ -274,8 +274,8 @@
 
 }  // namespace
 
-std::optional<fleet::FleetConfiguration> read_configuration(const std::string& text, const BodyNames& names,
-                                                            Findings& findings) {
+std::optional<fleet::FleetConfiguration> read_configuration(const std::string& text,
+                                                            const JsonFieldNames& names, Findings& findings) {
   const json document = json::parse(text, nullptr, false);
   if (document.is_discarded() || !document.is_object()) {
     Finding finding;
@@ -309,7 +309,7 @@
 }
 
 std::optional<fleet::BackendRecord> read_heartbeat(const std::string& name, const std::string& text,
-                                                   const BodyNames& names) {
+                                                   const JsonFieldNames& names) {
   const json document = json::parse(text, nullptr, false);
   Findings findings;
   const FieldReader reader(document, "heartbeat", findings);
@@ -326,17 +326,17 @@
   return findings.empty() ? std::optional(record) : std::nullopt;
 }
 
-std::optional<fleet::NameWeights> read_named_weights(const std::string& text) {
+std::optional<fleet::SetTargetWeights> read_named_weights(const std::string& text) {
   const json document = json::parse(text, nullptr, false);
   Findings findings;
   const FieldReader reader(document, "weights", findings);
-  fleet::NameWeights command;
+  fleet::SetTargetWeights command;
   command.model = reader.required_string("model");
   command.version = static_cast<uint64_t>(reader.integer("version", 0));
   return findings.empty() && command.version > 0 ? std::optional(command) : std::nullopt;
 }
 
-fleet::StartServiceRollout read_rollout_order(const std::string& text, const BodyNames& names,
+fleet::StartServiceRollout read_rollout_order(const std::string& text, const JsonFieldNames& names,
                                               Findings& findings) {
   constexpr double kMillisecondsPerSecond = 1000;
   constexpr double kMaxDurationSeconds = 1e9;
@@ -355,7 +355,7 @@
   return order;
 }
 
-std::string rollout_body(const fleet::ServiceRollout& rollout, const BodyNames& names) {
+std::string rollout_body(const fleet::ServiceRollout& rollout, const JsonFieldNames& names) {
   const char* state = "running";
   if (rollout.phase == fleet::RolloutPhase::kCompleted) {
     state = "completed";
@@ -365,7 +365,7 @@
   return json{{"state", state}, {names.rollout_target, rollout.target_version}}.dump();
 }
 
-std::optional<EngineReport> read_report(const std::string& text, const BodyNames& names) {
+std::optional<EngineReport> read_report(const std::string& text, const JsonFieldNames& names) {
   const json document = json::parse(text, nullptr, false);
   Findings findings;
   const FieldReader reader(document, "report", findings);
@@ -377,7 +377,7 @@
   return findings.empty() ? std::optional(report) : std::nullopt;
 }
 
-std::optional<CacheEvents> read_cache_events(const std::string& text, const BodyNames& names) {
+std::optional<CacheEvents> read_cache_events(const std::string& text, const JsonFieldNames& names) {
   const json document = json::parse(text, nullptr, false);
   Findings findings;
   const FieldReader reader(document, "events", findings);
@@ -393,7 +393,7 @@
   return findings.empty() ? std::optional(events) : std::nullopt;
 }
 
-std::string weight_order_body(const VersionOrder& order, const BodyNames& names) {
+std::string weight_order_body(const LoadWeightsOrder& order, const JsonFieldNames& names) {
   const json body = {{names.operation, names.load_weights},
                      {"model", order.model},
                      {"version", order.version},
@@ -404,7 +404,7 @@
   return body.dump();
 }
 
-std::string heartbeat_reply_body(const std::string& address, const BodyNames& names) {
+std::string heartbeat_reply_body(const std::string& address, const JsonFieldNames& names) {
   return json{{names.heartbeat_address, address}}.dump();
 }
 
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -39,7 +39,7 @@
 void FleetServer::on_confirmed_read(const ChannelPtr& channel, const fleet::ConfirmedRead& question) {
   const uint64_t call_id = question.call_id;
   const auto answer = [channel, call_id](const CallOutcome& outcome) {
-    channel->send(fleet::ConfirmedReadAnswer{call_id, outcome.done, outcome.source, outcome.rollout});
+    channel->send(fleet::ConfirmedReadResponse{call_id, outcome.done, outcome.source, outcome.rollout});
   };
   if (!core_->replica().leads()) {
     answer({});
@@ -115,7 +115,7 @@
       driver_->drive();
     }
   }
-  for (const uint64_t token : forwarded_calls_.leaderless(now)) {
+  for (const uint64_t token : forwarded_calls_.expired_without_leader(now)) {
     finish_call(token, {});
   }
 }
--- a/src/control/fleet_feed.cc
+++ b/src/control/fleet_feed.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 namespace stoat::control {
 
@@ -25,7 +25,7 @@
          crashes_.told().reaches(cursor.crashes);
 }
 
-bool FleetSoftState::add_backends(FeedCursor& cursor, fleet::FleetNews& message) const {
+bool FleetSoftState::add_backends(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   cursor.registry = registry_.table().visit_since(
       cursor.registry, kBackendsPerMessage, [&](const std::string& id, const fleet::BackendRecord* record) {
         if (record == nullptr) {
@@ -37,18 +37,18 @@
   return cursor.registry == registry_.table().revision();
 }
 
-void FleetSoftState::add_loads(FeedCursor& cursor, fleet::FleetNews& message) const {
+void FleetSoftState::add_loads(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   cursor.loads = loads_.totals().visit_since(
       cursor.loads, kLoadsPerMessage, [&](const std::string& backend, const fleet::BackendLoad* load) {
         message.loads.push_back(load == nullptr ? fleet::BackendLoad{backend, 0, 0} : *load);
       });
 }
 
-void FleetSoftState::add_caches(FeedCursor& cursor, fleet::FleetNews& message) const {
+void FleetSoftState::add_caches(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   std::map<std::string, fleet::CacheChanges> changed;  // by holder
   const auto entry_of = [&](const std::string& holder) -> fleet::CacheChanges& {
     fleet::CacheChanges& changes = changed[holder];
-    if (const CacheHead* head = caches_.heads().find(holder)) {
+    if (const CacheStatus* head = caches_.heads().find(holder)) {
       changes.store = head->store;
       changes.followed = head->followed;
     }
@@ -56,10 +56,10 @@
   };
   cursor.heads = caches_.heads().visit_since(
       cursor.heads, kHoldingsPerMessage,
-      [&](const std::string& holder, const CacheHead* head) { entry_of(holder).anew = head == nullptr; });
+      [&](const std::string& holder, const CacheStatus* head) { entry_of(holder).anew = head == nullptr; });
   cursor.holdings = caches_.shared_holdings().visit_since(
-      cursor.holdings, kHoldingsPerMessage, [&](const HeldPart& held, const fleet::PartHolding* holding) {
-        fleet::PartHolding removed{held.part, 0, 0};
+      cursor.holdings, kHoldingsPerMessage, [&](const HeldPartKey& held, const fleet::CachedPart* holding) {
+        fleet::CachedPart removed{held.part, 0, 0};
         entry_of(held.holder).holdings.push_back(holding == nullptr ? removed : *holding);
       });
   for (auto& [holder, changes] : changed) {
@@ -68,7 +68,7 @@
   }
 }
 
-void FleetSoftState::add_placements(FeedCursor& cursor, fleet::FleetNews& message) const {
+void FleetSoftState::add_placements(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   const uint64_t end = dropped_placements_ + placements_.size();
   uint64_t position = std::max(cursor.placements, dropped_placements_);
   while (position < end && message.placements.size() < kPlacementsPerMessage) {
@@ -78,24 +78,24 @@
   cursor.placements = position;
 }
 
-void FleetSoftState::add_quotas(FeedCursor& cursor, fleet::FleetNews& message) const {
+void FleetSoftState::add_quotas(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   cursor.quotas = quotas_.told().visit_since(
       cursor.quotas, SIZE_MAX, [&](const std::string& tenant, const fleet::QuotaLevel* level) {
         message.quotas.push_back(level == nullptr ? fleet::QuotaLevel{tenant, 0, false} : *level);
       });
 }
 
-void FleetSoftState::add_limits(FeedCursor& cursor, fleet::FleetNews& message) const {
+void FleetSoftState::add_limits(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
   cursor.limits = limits_.limits().visit_since(
       cursor.limits, kLimitsPerMessage, [&](const std::string& backend, const double* per_second) {
         message.limits.push_back({backend, per_second == nullptr ? 0 : *per_second});
       });
 }
 
-bool FleetSoftState::add_crashes(FeedCursor& cursor, fleet::FleetNews& message, TimePoint now) const {
+bool FleetSoftState::add_crashes(FeedCursor& cursor, fleet::FleetFeedUpdate& message, TimePoint now) const {
   cursor.crashes =
       crashes_.told().visit_since(cursor.crashes, kCrashRecordsPerMessage,
-                                  [&](uint64_t request, const std::vector<fleet::CrashNotice>* known) {
+                                  [&](uint64_t request, const std::vector<fleet::CrashReport>* known) {
                                     if (known != nullptr) {  // routers discard expired records on their own
                                       message.crashes.push_back(crashes_.record(request, now));
                                     }
@@ -103,8 +103,8 @@
   return cursor.crashes == crashes_.told().revision();
 }
 
-fleet::FleetNews FleetSoftState::next_feed_message(FeedCursor& cursor, TimePoint now) const {
-  fleet::FleetNews message;
+fleet::FleetFeedUpdate FleetSoftState::next_feed_message(FeedCursor& cursor, TimePoint now) const {
+  fleet::FleetFeedUpdate message;
   if (!can_resume(cursor)) {
     cursor = FeedCursor{};
     cursor.begun = true;
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -9,7 +9,7 @@
 
 /// Names of JSON fields that differ between platforms. Common names such as name, host and kind are the same
 /// everywhere and are literals in fleet_bodies.cc.
-struct BodyNames {
+struct JsonFieldNames {
   // configuration
   std::string open_route = "open";
   std::string shares = "shares";
@@ -59,8 +59,8 @@
 };
 
 /// See the top of this file.
-struct FleetInterface {
-  BodyNames bodies;
+struct FleetHttpInterface {
+  JsonFieldNames bodies;
   FleetPaths paths;
   std::string expected_backend_header = "X-Expected-Backend";
   std::string wait_header = "X-Wait-Ms";  ///< how long a cache may wait for changes before it replies, in ms
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -22,7 +22,7 @@
   const TimePoint now = loop_.now();
   const bool leads = core_->replica().leads();
   const uint64_t term = core_->replica().term();
-  const fleet::PeerNews peer_update = soft_state_.take_peer_update(term, leads, now);
+  const fleet::PeerUpdate peer_update = soft_state_.take_peer_update(term, leads, now);
   if (peer_update.empty() && now < next_peer_update_) {
     soft_state_.release_last_number();
     return;
@@ -50,14 +50,14 @@
   wire::Frame full_state;  // encoded once for all members that need it
   for (const std::string& address : other_members()) {
     const ChannelPtr channel = bulk_channel_to(address);
-    if (channel == nullptr || !peer_feeds_.whole_due(address, channel->unsent_bytes(), now)) {
+    if (channel == nullptr || !peer_feeds_.full_state_due(address, channel->unsent_bytes(), now)) {
       continue;
     }
     if (full_state.empty()) {
       full_state = wire::make_frame(soft_state_.full_state_for_peer(term, leads, named_weights_, now));
     }
     channel->send_frame(full_state);
-    peer_feeds_.on_whole_sent(address, full_state.bytes.size(), now);
+    peer_feeds_.on_full_state_sent(address, full_state.bytes.size(), now);
     log_.event(events::WholeSent{address, full_state.bytes.size()});
   }
 }
@@ -65,13 +65,13 @@
 void FleetServer::send_to_members(const wire::Frame& frame) {
   for (const std::string& address : other_members()) {
     const ChannelPtr channel = bulk_channel_to(address);
-    if (channel != nullptr && peer_feeds_.takes_news(address, channel->unsent_bytes())) {
+    if (channel != nullptr && peer_feeds_.accepts_update(address, channel->unsent_bytes())) {
       channel->send_frame(frame);
     }
   }
 }
 
-void FleetServer::on_peer_update(const fleet::PeerNews& peer_update) {
+void FleetServer::on_peer_update(const fleet::PeerUpdate& peer_update) {
   const TimePoint now = loop_.now();
   meter_peer_traffic(peer_update.sender, peer_update.zone);
   soft_state_.on_peer_update(peer_update, now);
@@ -79,7 +79,7 @@
     router_confirmations_.note(entry.router, entry.applied, now);
   }
   adopt_rollout_ages(peer_update);
-  for (const fleet::NamedVersion& named : peer_update.weights) {
+  for (const fleet::TargetWeightsVersion& named : peer_update.weights) {
     const auto known = named_weights_.find(named.model);
     if (known != named_weights_.end() && known->second.versions().count(named.version) > 0) {
       known->second.note(named.version, now - Duration(1000 * named.age_ms));
@@ -117,15 +117,15 @@
 }
 
 void FleetServer::on_confirmation_question(const ChannelPtr& channel,
-                                           const fleet::ConfirmationQuestion& question) {
-  fleet::ConfirmationAnswer answer;
+                                           const fleet::ConfirmationRequest& question) {
+  fleet::ConfirmationResponse answer;
   answer.number = question.number;
   answer.quorum_age_ms = core_->replica().leads() ? confirmed_age_ms() : -1;
   answer.configuration_version = configuration_version();
   channel->send(answer);
 }
 
-void FleetServer::on_confirmation_answer(const fleet::ConfirmationAnswer& answer) {
+void FleetServer::on_confirmation_answer(const fleet::ConfirmationResponse& answer) {
   questions_.on_answer(answer);
   track_confirmation();
 }
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -64,7 +64,8 @@
 }
 
 std::vector<fleet::RouterRecord> FleetServer::ready_routers(const std::string& zone, size_t limit) {
-  std::vector<fleet::RouterRecord> routers = soft_state_.routers().for_callers(zone, limit, loop_.now());
+  std::vector<fleet::RouterRecord> routers =
+      soft_state_.routers().select_for_callers(zone, limit, loop_.now());
   std::map<topology::Distance, size_t> count_by_distance;
   for (const fleet::RouterRecord& router : routers) {
     ++count_by_distance[settings_.topology.distance(zone, router.zone)];
@@ -157,7 +158,8 @@
   if (link.status.configuration_version >= version) {
     return false;
   }
-  if (link.configuration_sent >= version && now - link.configuration_sent_at < kConfigurationResendDelay) {
+  if (link.sent_configuration_version >= version &&
+      now - link.configuration_sent_at < kConfigurationResendDelay) {
     return false;
   }
   return link.status.follows ||
@@ -167,10 +169,10 @@
 void FleetServer::reply_to_router(RouterLink& link) {
   fleet::FleetUpdate update = make_update(link);
   update.answers = link.status.sequence;
-  update.spending_taken = link.spending_taken;
+  update.acknowledged_spending_sequence = link.acknowledged_spending_sequence;
   if (needs_configuration(link, true)) {
     update.configuration.push_back(core_->state().fleet().configuration());
-    link.configuration_sent = configuration_version();
+    link.sent_configuration_version = configuration_version();
     link.configuration_sent_at = loop_.now();
   }
   link.told = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
@@ -179,8 +181,8 @@
 
 void FleetServer::push_to_routers() {
   // Routers that have received the same revisions get the same frame.
-  std::map<std::pair<ToldRevisions, bool>, wire::Frame> frames;
-  const ToldRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
+  std::map<std::pair<SentRevisions, bool>, wire::Frame> frames;
+  const SentRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
                              rollouts_revision_};
   for (auto& [name, link] : router_links_) {
     if (!link.channel->open()) {
@@ -197,7 +199,7 @@
     }
     link.told = newest;
     if (configuration) {
-      link.configuration_sent = configuration_version();
+      link.sent_configuration_version = configuration_version();
       link.configuration_sent_at = loop_.now();
     }
     link.channel->send_frame(frame);
@@ -240,7 +242,8 @@
   soft_state_.on_router_loads(loads, loop_.now());
   const auto found = router_links_.find(loads.router);
   if (found != router_links_.end() && found->second.channel == channel) {
-    found->second.spending_taken = std::max(found->second.spending_taken, loads.spending_number);
+    found->second.acknowledged_spending_sequence =
+        std::max(found->second.acknowledged_spending_sequence, loads.spending_sequence);
   }
 }
 
@@ -249,7 +252,7 @@
     if (link.channel == channel && !link.silent) {
       link.silent = true;
       soft_state_.forget_router(name);
-      router_confirmations_.note_closed(name, loop_.now());
+      router_confirmations_.on_connection_closed(name, loop_.now());
       log_.event(events::RouterChanged{name, "closed", link.status.configuration_version});
     }
   }
@@ -288,7 +291,7 @@
     if (found == frames.end()) {
       FeedFrame feed_frame;
       feed_frame.after = link.cursor;
-      const fleet::FleetNews message = soft_state_.next_feed_message(feed_frame.after, loop_.now());
+      const fleet::FleetFeedUpdate message = soft_state_.next_feed_message(feed_frame.after, loop_.now());
       feed_frame.complete = message.complete;
       if (!message.empty()) {
         feed_frame.frame = wire::make_frame(message);
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -58,7 +58,7 @@
   return settings;
 }
 
-FleetServer::FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders)
+FleetServer::FleetServer(EventLoop& loop, FleetControlSettings settings, EngineInterface& orders)
     : loop_(loop),
       settings_(std::move(settings)),
       engine_orders_(orders),
@@ -206,15 +206,15 @@
     on_router_status(channel, *status);
   } else if (auto* loads = std::get_if<fleet::RouterLoads>(&message.value)) {
     on_router_loads(channel, *loads);
-  } else if (auto* permits = std::get_if<fleet::PermitQuestion>(&message.value)) {
+  } else if (auto* permits = std::get_if<fleet::PermitRequest>(&message.value)) {
     on_permit_question(channel, *permits);
-  } else if (auto* placements = std::get_if<fleet::PlacementNews>(&message.value)) {
+  } else if (auto* placements = std::get_if<fleet::PlacementUpdate>(&message.value)) {
     soft_state_.on_placements(placements->placements);
-  } else if (auto* peer_update = std::get_if<fleet::PeerNews>(&message.value)) {
+  } else if (auto* peer_update = std::get_if<fleet::PeerUpdate>(&message.value)) {
     on_peer_update(*peer_update);
-  } else if (auto* question = std::get_if<fleet::ConfirmationQuestion>(&message.value)) {
+  } else if (auto* question = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
     on_confirmation_question(channel, *question);
-  } else if (auto* confirmed = std::get_if<fleet::ConfirmationAnswer>(&message.value)) {
+  } else if (auto* confirmed = std::get_if<fleet::ConfirmationResponse>(&message.value)) {
     on_confirmation_answer(*confirmed);
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
     on_control_call(channel, std::move(*call));
@@ -226,7 +226,7 @@
     }
   } else if (auto* read = std::get_if<fleet::ConfirmedRead>(&message.value)) {
     on_confirmed_read(channel, *read);
-  } else if (auto* read_answer = std::get_if<fleet::ConfirmedReadAnswer>(&message.value)) {
+  } else if (auto* read_answer = std::get_if<fleet::ConfirmedReadResponse>(&message.value)) {
     finish_call(read_answer->call_id,
                 {read_answer->confirmed, {}, read_answer->source, read_answer->rollout});
   } else if (auto* join = std::get_if<wire::JoinRequest>(&message.value)) {
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -12,22 +12,22 @@
 #include <string>
 #include <vector>
 
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 #include "src/common/log.h"
 #include "src/common/metrics.h"
 #include "src/common/settings.h"
-#include "src/control/cache_watch.h"
+#include "src/control/cache_event_poller.h"
 #include "src/control/control_core.h"
 #include "src/control/durable_driver.h"
-#include "src/control/engine_orders.h"
-#include "src/control/fleet_knowledge.h"
+#include "src/control/engine_interface.h"
+#include "src/control/fleet_soft_state.h"
 #include "src/control/forwarded_calls.h"
-#include "src/control/leader_confirmation.h"
-#include "src/control/peer_feeds.h"
+#include "src/control/leader_confirmation_tracker.h"
+#include "src/control/peer_flow_control.h"
 #include "src/control/router_link.h"
 #include "src/control/weight_rollout.h"
 #include "src/http/event_loop.h"
-#include "src/rollout/answer_book.h"
+#include "src/rollout/answer_aggregator.h"
 #include "src/rollout/rollout_planner.h"
 #include "src/rollout/router_confirmations.h"
 #include "src/storage/replica_store.h"
@@ -82,7 +82,7 @@
  public:
   /// Throws std::runtime_error if the state on disk is damaged or cannot be written, or if the internal
   /// endpoint cannot be bound.
-  FleetServer(EventLoop& loop, FleetControlSettings settings, EngineOrders& orders);
+  FleetServer(EventLoop& loop, FleetControlSettings settings, EngineInterface& orders);
   ~FleetServer();
   FleetServer(const FleetServer&) = delete;
   FleetServer& operator=(const FleetServer&) = delete;
@@ -195,7 +195,7 @@
   std::optional<LeaderConfirmation> confirmation() const;
 
   // fleet_permits.cc: permits under the rate limits of backends, which apply to all routers together
-  void on_permit_question(const ChannelPtr& channel, const fleet::PermitQuestion& question);
+  void on_permit_question(const ChannelPtr& channel, const fleet::PermitRequest& question);
   bool may_grant_permits() const;
   void maintain_permits();
 
@@ -207,9 +207,9 @@
   /// Attributes the traffic to another member to the distance of its zone.
   void meter_peer_traffic(const std::string& address, const std::string& zone);
   void log_traffic();
-  void on_peer_update(const fleet::PeerNews& peer_update);
-  void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationQuestion& question);
-  void on_confirmation_answer(const fleet::ConfirmationAnswer& answer);
+  void on_peer_update(const fleet::PeerUpdate& peer_update);
+  void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationRequest& question);
+  void on_confirmation_answer(const fleet::ConfirmationResponse& answer);
   void request_confirmation();
   void track_confirmation();
   void choose_caches();
@@ -227,7 +227,7 @@
   void track_rollouts();
   void log_rollout_step(const fleet::ServiceRollout& rollout);
   void record_applied_rollouts(const std::string& router, const std::vector<fleet::AppliedRollout>& applied);
-  void adopt_rollout_ages(const fleet::PeerNews& peer_update);
+  void adopt_rollout_ages(const fleet::PeerUpdate& peer_update);
   void advance_service_rollouts();
   void judge_answers();
   void step_rollout(const fleet::ServiceRollout& rollout);
@@ -244,7 +244,7 @@
 
   EventLoop& loop_;
   FleetControlSettings settings_;
-  EngineOrders& engine_orders_;
+  EngineInterface& engine_orders_;
   Logger log_{"control"};
   Metrics metrics_;
   std::shared_ptr<wire::TrafficMeter> traffic_ = std::make_shared<wire::TrafficMeter>();
@@ -264,7 +264,7 @@
   bool stopping_ = false;
 
   FleetSoftState soft_state_;
-  PeerFeeds peer_feeds_;
+  PeerFlowControl peer_feeds_;
   std::map<std::string, RouterLink> router_links_;               ///< by name
   size_t ready_router_count_ = 0;                                ///< ready routers at the last count
   uint64_t logged_registry_revision_ = 0;                        ///< changes up to it are logged
@@ -273,17 +273,17 @@
   std::string logged_members_;
   uint64_t handled_state_revision_ = 0;
   fleet::RevisionTable<std::string, fleet::BackendState> retired_backends_;  ///< from the replicated log
-  fleet::NamedWeights named_weights_;
+  fleet::TargetWeights named_weights_;
   uint64_t named_weights_revision_ = 0;    ///< incremented when `named_weights_` changes
   uint64_t members_revision_ = 0;          ///< incremented when the member list changes
   TimePoint configuration_applied_at_{0};  ///< of the newest configuration
 
-  LeaderQuestions questions_;
+  LeaderConfirmationTracker questions_;
   TimePoint next_confirmation_request_{0};
   TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
-  CacheWatch cache_watch_;
+  CacheEventPoller cache_watch_;
   WeightRollout weight_rollout_;
-  admission::PermitBook permit_book_;                     ///< valid while this member leads
+  admission::PermitIssuer permit_book_;                   ///< valid while this member leads
   std::map<uint64_t, RolloutProgress> rollout_progress_;  ///< by rollout id; only rollouts not yet final
   rollout::RouterConfirmations router_confirmations_;
   std::map<uint64_t, uint64_t> seen_steps_;  ///< by rollout id: newest step seen
--- a/src/control/fleet_service_rollout.cc
+++ b/src/control/fleet_service_rollout.cc
@@ -132,7 +132,7 @@
   router_confirmations_.note(router, applied, loop_.now());
 }
 
-void FleetServer::adopt_rollout_ages(const fleet::PeerNews& peer_update) {
+void FleetServer::adopt_rollout_ages(const fleet::PeerUpdate& peer_update) {
   if (!peer_update.leads || peer_update.term < core_->replica().term()) {
     return;
   }
@@ -150,9 +150,9 @@
     if (found == rollout_progress_.end()) {
       continue;
     }
-    fleet::AnswerSums& judged = found->second.judged_sums[key];
-    fleet::AnswerSums growth;
-    rollout::add_growth(sums, judged, growth);
+    fleet::AnswerTotals& judged = found->second.judged_sums[key];
+    fleet::AnswerTotals growth;
+    rollout::add_increase(sums, judged, growth);
     judged = sums;
     found->second.judge.add(key, growth);
   }
@@ -190,7 +190,8 @@
   const SentRequests sent = count_sent_requests(rollout.id);
   view.target_sent = static_cast<double>(sent.target);
   view.all_sent = static_cast<double>(sent.all);
-  const rollout::RouterWord word = router_confirmations_.word_on(rollout.id, rollout.step, now);
+  const rollout::RolloutConfirmation word =
+      router_confirmations_.confirmation_of(rollout.id, rollout.step, now);
   view.all_applied = word.all_applied;
   view.others_running = word.others_running;
   return view;
--- a/src/control/fleet_knowledge.cc
+++ b/src/control/fleet_soft_state.cc
@@ -1,4 +1,4 @@
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -31,20 +31,21 @@
     return false;
   }
   if (registry_.table().revision() == before) {
-    pending_update_.marks.push_back({fleet::mark_key(record.id), record.sequence});
+    pending_update_.marks.push_back({fleet::backend_id_hash(record.id), record.sequence});
   } else {
     pending_update_.heartbeats.push_back(record);
   }
   return true;
 }
 
-void FleetSoftState::apply_heartbeat_marks(const fleet::PeerNews& peer_update, TimePoint now) {
-  for (const fleet::HeartbeatMark& mark : peer_update.marks) {
-    if (registry_.on_mark(mark.backend, mark.sequence, now) == fleet::MarkResult::kUnknown) {
+void FleetSoftState::apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now) {
+  for (const fleet::CompactHeartbeat& mark : peer_update.marks) {
+    if (registry_.on_compact_heartbeat(mark.backend, mark.sequence, now) ==
+        fleet::CompactHeartbeatResult::kUnknown) {
       missing_record_keys_[peer_update.sender].insert(mark.backend);
     }
   }
-  for (const fleet::RecordQuestion& question : peer_update.questions) {
+  for (const fleet::BackendRecordRequest& question : peer_update.questions) {
     if (question.member != options_.address) {
       continue;
     }
@@ -81,7 +82,7 @@
   limits_.on_router(loads.limits);
   crashes_.on_router(loads.crashes, now);
   if (following_routers_.count(loads.router) > 0) {
-    loads_.set_router(loads.router, loads.loads);
+    loads_.set_router_loads(loads.router, loads.loads);
   }
 }
 
@@ -108,7 +109,7 @@
     return 0;
   }
   const double unheard = static_cast<double>(routers_.count_unheard(following_routers_, now)) +
-                         admission::kAlonePart * static_cast<double>(silent_routers_.size());
+                         admission::kDisconnectedRateFraction * static_cast<double>(silent_routers_.size());
   return unheard / static_cast<double>(total);
 }
 
@@ -122,7 +123,7 @@
 
 void FleetSoftState::on_placements(const std::vector<fleet::ChainPlacement>& placements) {
   for (const fleet::ChainPlacement& placement : placements) {
-    const std::vector<uint64_t> added = caches_.note_shared(placement.links);
+    const std::vector<uint64_t> added = caches_.mark_shared(placement.links);
     pending_update_.shared_parts.insert(pending_update_.shared_parts.end(), added.begin(), added.end());
     announce_shared_parts(added);
     if (!caches_.told(placement)) {
@@ -134,7 +135,7 @@
 
 void FleetSoftState::on_cache_changes(const std::vector<fleet::CacheChanges>& changes) {
   for (const fleet::CacheChanges& change : changes) {
-    const CacheMirror::Cache* known = caches_.find(change.holder);
+    const CacheIndex::Cache* known = caches_.find(change.holder);
     const bool same_claim =
         known != nullptr && known->followed == change.followed && known->claim == change.claim;
     if (!caches_.apply(options_.address, change)) {
@@ -149,7 +150,7 @@
 
 fleet::CacheChanges FleetSoftState::filter_shared(fleet::CacheChanges changes) const {
   std::erase_if(changes.holdings,
-                [this](const fleet::PartHolding& holding) { return !caches_.shared(holding.part); });
+                [this](const fleet::CachedPart& holding) { return !caches_.shared(holding.part); });
   return changes;
 }
 
@@ -158,7 +159,7 @@
     return;
   }
   for (const std::string& holder : caches_.followed_by(options_.address)) {
-    const CacheMirror::Cache& cache = *caches_.find(holder);
+    const CacheIndex::Cache& cache = *caches_.find(holder);
     fleet::CacheChanges announced{holder,      cache.store, cache.followed,   false,
                                   cache.claim, cache.epoch, cache.next_event, {}};
     for (const uint64_t part : parts) {
@@ -191,12 +192,12 @@
   }
 }
 
-void FleetSoftState::apply_engine_notes(const fleet::PeerNews& peer_update) {
+void FleetSoftState::apply_engine_notes(const fleet::PeerUpdate& peer_update) {
   if (!peer_update.leads || peer_update.term < engine_notes_term_) {
     return;
   }
   engine_notes_term_ = peer_update.term;
-  for (const fleet::EngineNote& note : peer_update.engines) {
+  for (const fleet::EngineLoadState& note : peer_update.engines) {
     registry_.set_loading(note.id, note.loading);
     for (const fleet::ModelVersion& entry : note.models) {
       registry_.set_version(note.id, entry.model, entry.version);
@@ -204,7 +205,7 @@
   }
 }
 
-void FleetSoftState::on_peer_update(const fleet::PeerNews& peer_update, TimePoint now) {
+void FleetSoftState::on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now) {
   Peer& peer = peers_[peer_update.sender];
   peer.zone = peer_update.zone;
   peer.heard = now;
@@ -228,7 +229,7 @@
     registry_.on_heartbeat(record, now);
   }
   apply_heartbeat_marks(peer_update, now);
-  for (const fleet::RouterNotice& notice : peer_update.routers) {
+  for (const fleet::RouterPresence& notice : peer_update.routers) {
     silent_routers_.erase(notice.router.name);
     routers_.on_notice(peer_update.sender, notice, now);
   }
@@ -241,9 +242,9 @@
   for (const fleet::CacheChanges& changes : peer_update.caches) {
     caches_.apply(peer_update.sender, changes);
   }
-  announce_shared_parts(caches_.note_shared(peer_update.shared_parts));
+  announce_shared_parts(caches_.mark_shared(peer_update.shared_parts));
   for (const fleet::ChainPlacement& placement : peer_update.placements) {
-    announce_shared_parts(caches_.note_shared(placement.links));
+    announce_shared_parts(caches_.mark_shared(placement.links));
     add_placement(placement);
   }
   apply_engine_notes(peer_update);
@@ -273,7 +274,7 @@
       continue;
     }
     loads_.forget_peer(entry->first);
-    caches_.lose_follower(entry->first);
+    caches_.on_follower_lost(entry->first);
     entry = peers_.erase(entry);
   }
 }
@@ -289,8 +290,8 @@
   }
 }
 
-fleet::PeerNews FleetSoftState::take_peer_update(uint64_t term, bool leads, TimePoint now) {
-  fleet::PeerNews peer_update = std::exchange(pending_update_, {});
+fleet::PeerUpdate FleetSoftState::take_peer_update(uint64_t term, bool leads, TimePoint now) {
+  fleet::PeerUpdate peer_update = std::exchange(pending_update_, {});
   peer_update.sender = options_.address;
   peer_update.zone = options_.zone;
   peer_update.term = term;
@@ -319,9 +320,10 @@
   return peer_update;
 }
 
-fleet::PeerNews FleetSoftState::full_state_for_peer(uint64_t term, bool leads,
-                                                    const fleet::NamedWeights& named, TimePoint now) const {
-  fleet::PeerNews peer_update;
+fleet::PeerUpdate FleetSoftState::full_state_for_peer(uint64_t term, bool leads,
+                                                      const fleet::TargetWeights& named,
+                                                      TimePoint now) const {
+  fleet::PeerUpdate peer_update;
   peer_update.sender = options_.address;
   peer_update.zone = options_.zone;
   peer_update.term = term;
@@ -349,7 +351,7 @@
     peer_update.caches.push_back(filter_shared(caches_.whole(holder)));
   }
   for (const fleet::BackendRecord& record : registry_.records()) {
-    if (registry_.heard_since(record.id, now - options_.registry.overdue_after)) {
+    if (registry_.has_heartbeat_since(record.id, now - options_.registry.overdue_after)) {
       peer_update.heartbeats.push_back(record);
     }
     if (leads && record.loading) {
@@ -377,11 +379,11 @@
   if (!warmed_up_ && record.zone != options_.zone) {
     return false;  // updates from nearer members may not have arrived yet
   }
-  return follower_of(record.id, record.zone, live_members(now), options_.topology) == options_.address;
+  return responsible_member(record.id, record.zone, live_members(now), options_.topology) == options_.address;
 }
 
 FollowedCache FleetSoftState::claim_cache(const std::string& holder, const std::string& address, bool store) {
-  const CacheMirror::Cache* known = caches_.find(holder);
+  const CacheIndex::Cache* known = caches_.find(holder);
   const auto held = claimed_caches_.find(holder);
   const bool superseded =
       known != nullptr && held != claimed_caches_.end() && known->follower != options_.address;
@@ -406,7 +408,7 @@
   if (cache_duty_.update(registry_.table(), store_zones, live_members(now), now)) {
     caches_.keep([this](const std::string& holder) { return cache_duty_.knows(holder); });
   }
-  for (const std::string& holder : cache_duty_.take_gone()) {
+  for (const std::string& holder : cache_duty_.take_removed_backends()) {
     caches_.drop(holder);
   }
   std::map<std::string, FollowedCache> chosen;
--- a/src/control/fleet_knowledge.h
+++ b/src/control/fleet_soft_state.h
@@ -12,20 +12,20 @@
 #include <tuple>
 #include <vector>
 
-#include "src/admission/quota_book.h"
+#include "src/admission/quota_ledger.h"
 #include "src/common/time.h"
+#include "src/control/assigned_caches.h"
+#include "src/control/backend_limit_table.h"
 #include "src/control/cache_assignment.h"
-#include "src/control/cache_duty.h"
-#include "src/control/cache_mirror.h"
-#include "src/control/cache_watch.h"
-#include "src/control/crash_ledger.h"
-#include "src/control/limit_book.h"
-#include "src/control/load_book.h"
+#include "src/control/cache_event_poller.h"
+#include "src/control/cache_index.h"
+#include "src/control/crash_aggregator.h"
+#include "src/control/load_aggregator.h"
 #include "src/control/router_directory.h"
 #include "src/fleet/backend_registry.h"
 #include "src/fleet/fleet_messages.h"
 #include "src/fleet/version_history.h"
-#include "src/rollout/answer_book.h"
+#include "src/rollout/answer_aggregator.h"
 #include "src/topology/topology.h"
 
 namespace stoat::control {
@@ -105,20 +105,20 @@
   /// Drops the answer counts of all other rollouts.
   void retain_answers(const std::set<uint64_t>& rollouts) { answers_.keep(rollouts); }
   /// Applies an update from another member.
-  void on_peer_update(const fleet::PeerNews& peer_update, TimePoint now);
+  void on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Expires everything that has been silent for too long. Must be called a few times per second.
   void expire(TimePoint now);
 
   // Output to the other members
   /// Returns the differences since the last call as one message for all members. An empty one need not be
   /// sent.
-  fleet::PeerNews take_peer_update(uint64_t term, bool leads, TimePoint now);
+  fleet::PeerUpdate take_peer_update(uint64_t term, bool leads, TimePoint now);
   /// Releases the number of the last take_peer_update(), whose message was not sent.
   void release_last_number() { --last_update_number_; }
   /// Everything that this member is the source of, for members that lack some of it. Must be sent right after
   /// take_peer_update().
-  fleet::PeerNews full_state_for_peer(uint64_t term, bool leads, const fleet::NamedWeights& named,
-                                      TimePoint now) const;
+  fleet::PeerUpdate full_state_for_peer(uint64_t term, bool leads, const fleet::TargetWeights& named,
+                                        TimePoint now) const;
   /// Addresses of the members that have requested the full state since the last call.
   std::set<std::string> take_full_state_requests();
 
@@ -128,15 +128,15 @@
                                            TimePoint now);
 
   /// Returns the next message for routers at `cursor` and advances it. The message is empty
-  /// (FleetNews::empty) if there is nothing new.
-  fleet::FleetNews next_feed_message(FeedCursor& cursor, TimePoint now) const;
+  /// (FleetFeedUpdate::empty) if there is nothing new.
+  fleet::FleetFeedUpdate next_feed_message(FeedCursor& cursor, TimePoint now) const;
 
   const fleet::BackendRegistry& registry() const { return registry_; }
   const RouterDirectory& routers() const { return routers_; }
-  const LoadBook& loads() const { return loads_; }
-  const LimitBook& limits() const { return limits_; }
-  const CacheMirror& caches() const { return caches_; }
-  const admission::QuotaBook& quotas() const { return quotas_; }
+  const LoadAggregator& loads() const { return loads_; }
+  const BackendLimitTable& limits() const { return limits_; }
+  const CacheIndex& caches() const { return caches_; }
+  const admission::QuotaLedger& quotas() const { return quotas_; }
   /// Tenants for which metering has started or stopped since the last call.
   std::vector<fleet::QuotaLevel> take_quota_changes() { return quotas_.take_changes(); }
   /// The zone of another member; empty if no update from it has arrived.
@@ -146,7 +146,7 @@
   }
   /// True if this member is the one that a backend's heartbeats should go to.
   bool is_home_member(const fleet::BackendRecord& record, TimePoint now) const;
-  const rollout::AnswerBook& answers() const { return answers_; }
+  const rollout::AnswerAggregator& answers() const { return answers_; }
   /// This member and the others that have sent an update recently.
   std::vector<LiveMember> live_members(TimePoint now) const;
 
@@ -161,22 +161,22 @@
   /// Fraction of the routers whose quota spending cannot reach this member now.
   double unheard_share(TimePoint now) const;
   /// Applies a peer's heartbeat marks and answers its requests for backend records.
-  void apply_heartbeat_marks(const fleet::PeerNews& peer_update, TimePoint now);
+  void apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Removes the prompt parts that are not shared: they are of no use to routers of other members.
   fleet::CacheChanges filter_shared(fleet::CacheChanges changes) const;
   /// Queues, for the other members, which of these parts are in the caches that this member follows: the
   /// parts have only now become shared, so they were not sent before.
   void announce_shared_parts(const std::vector<uint64_t>& parts);
   void add_placement(const fleet::ChainPlacement& placement);
-  void apply_engine_notes(const fleet::PeerNews& peer_update);
+  void apply_engine_notes(const fleet::PeerUpdate& peer_update);
   FollowedCache claim_cache(const std::string& holder, const std::string& address, bool store);
-  bool add_backends(FeedCursor& cursor, fleet::FleetNews& message) const;
-  void add_loads(FeedCursor& cursor, fleet::FleetNews& message) const;
-  void add_caches(FeedCursor& cursor, fleet::FleetNews& message) const;
-  void add_placements(FeedCursor& cursor, fleet::FleetNews& message) const;
-  void add_quotas(FeedCursor& cursor, fleet::FleetNews& message) const;
-  void add_limits(FeedCursor& cursor, fleet::FleetNews& message) const;
-  bool add_crashes(FeedCursor& cursor, fleet::FleetNews& message, TimePoint now) const;
+  bool add_backends(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  void add_loads(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  void add_caches(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  void add_placements(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  void add_quotas(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  void add_limits(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
+  bool add_crashes(FeedCursor& cursor, fleet::FleetFeedUpdate& message, TimePoint now) const;
   /// Removes the rate limits of backends that are no longer registered.
   void expire_limits();
   /// True if the differences since `cursor` are still known; otherwise the feed must start anew.
@@ -185,15 +185,15 @@
   SoftStateOptions options_;
   fleet::BackendRegistry registry_;
   RouterDirectory routers_;
-  LoadBook loads_;
-  LimitBook limits_;
-  CrashLedger crashes_;
-  admission::QuotaBook quotas_;
-  rollout::AnswerBook answers_;
-  CacheDuty cache_duty_;
+  LoadAggregator loads_;
+  BackendLimitTable limits_;
+  CrashAggregator crashes_;
+  admission::QuotaLedger quotas_;
+  rollout::AnswerAggregator answers_;
+  AssignedCaches cache_duty_;
   /// Routers that followed this member, and when they fell silent.
   std::map<std::string, TimePoint> silent_routers_;
-  CacheMirror caches_;
+  CacheIndex caches_;
   /// Routers that receive the feed of this member, by name.
   std::map<std::string, fleet::RouterRecord> following_routers_;
   /// Caches that this member follows, by holder.
@@ -208,7 +208,7 @@
   uint64_t dropped_placements_ = 0;               ///< number of older ones
   bool warmed_up_ = false;  ///< since the start, every live backend has had time to send a heartbeat
   uint64_t last_update_number_ = 0;
-  fleet::PeerNews pending_update_;            ///< parts of the next update to the other members
+  fleet::PeerUpdate pending_update_;          ///< parts of the next update to the other members
   std::set<std::string> pending_engine_ids_;  ///< engines whose notes the leader sends with the next update
   uint64_t engine_notes_term_ = 0;            ///< term of the leader whose engine notes were last applied
 };
--- a/src/control/fleet_weight_rollout.cc
+++ b/src/control/fleet_weight_rollout.cc
@@ -53,7 +53,7 @@
 }
 
 void FleetServer::send_weight_order(const RolloutStep& step) {
-  VersionOrder order;
+  LoadWeightsOrder order;
   order.engine = step.engine.id;
   order.address = step.engine.address;
   order.model = step.model;
--- a/src/control/forwarded_calls.h
+++ b/src/control/forwarded_calls.h
@@ -33,7 +33,7 @@
   /// The calls that the current leader has not been sent yet. Marks them as sent.
   std::vector<Call> take_due();
   /// Calls for which no leader was found in time. They should be refused.
-  std::vector<uint64_t> leaderless(TimePoint now) const;
+  std::vector<uint64_t> expired_without_leader(TimePoint now) const;
 
  private:
   struct PendingCall {
--- a/src/control/leader_confirmation.h
+++ b/src/control/leader_confirmation_tracker.h
@@ -19,10 +19,10 @@
 };
 
 /// Numbers the requests to the leader and keeps the newest confirmation. Performs no I/O.
-class LeaderQuestions {
+class LeaderConfirmationTracker {
  public:
   /// A request to be sent to the leader now.
-  fleet::ConfirmationQuestion ask(TimePoint now) {
+  fleet::ConfirmationRequest ask(TimePoint now) {
     request_times_[++last_request_number_] = now;
     if (request_times_.size() > kMaxOpenRequests) {
       request_times_.erase(request_times_.begin());
@@ -30,7 +30,7 @@
     return {last_request_number_};
   }
   /// Handles the leader's answer. Answers to unknown requests are ignored.
-  void on_answer(const fleet::ConfirmationAnswer& answer) {
+  void on_answer(const fleet::ConfirmationResponse& answer) {
     const auto request_time = request_times_.find(answer.number);
     if (request_time == request_times_.end()) {
       return;
--- a/src/control/load_book.cc
+++ b/src/control/load_aggregator.cc
@@ -1,20 +1,20 @@
-#include "src/control/load_book.h"
+#include "src/control/load_aggregator.h"
 
 namespace stoat::control {
 
 using fleet::BackendLoad;
 
-void LoadBook::add(const BackendLoad& load, BackendLoad& sum) {
+void LoadAggregator::add(const BackendLoad& load, BackendLoad& sum) {
   sum.outstanding += load.outstanding;
   sum.prefill_tokens += load.prefill_tokens;
 }
 
-void LoadBook::subtract(const BackendLoad& load, BackendLoad& sum) {
+void LoadAggregator::subtract(const BackendLoad& load, BackendLoad& sum) {
   sum.outstanding -= load.outstanding;
   sum.prefill_tokens -= load.prefill_tokens;
 }
 
-void LoadBook::set_router(const std::string& router, const std::vector<BackendLoad>& loads) {
+void LoadAggregator::set_router_loads(const std::string& router, const std::vector<BackendLoad>& loads) {
   std::vector<BackendLoad>& known = router_loads_[router];
   if (known == loads) {
     return;
@@ -35,12 +35,12 @@
   }
 }
 
-void LoadBook::forget_router(const std::string& router) {
-  set_router(router, {});
+void LoadAggregator::forget_router(const std::string& router) {
+  set_router_loads(router, {});
   router_loads_.erase(router);
 }
 
-void LoadBook::on_peer(const std::string& peer, const std::vector<BackendLoad>& changes) {
+void LoadAggregator::on_peer(const std::string& peer, const std::vector<BackendLoad>& changes) {
   Loads& sums = peer_sums_[peer];
   for (const BackendLoad& change : changes) {
     sums[change.backend] = change;
@@ -48,7 +48,7 @@
   }
 }
 
-void LoadBook::forget_peer(const std::string& peer) {
+void LoadAggregator::forget_peer(const std::string& peer) {
   const auto found = peer_sums_.find(peer);
   if (found == peer_sums_.end()) {
     return;
@@ -60,7 +60,7 @@
   }
 }
 
-void LoadBook::update_total(const std::string& backend) {
+void LoadAggregator::update_total(const std::string& backend) {
   BackendLoad total;
   total.backend = backend;
   const auto own = own_sums_.find(backend);
@@ -83,7 +83,7 @@
   }
 }
 
-std::vector<BackendLoad> LoadBook::take_own_changes() {
+std::vector<BackendLoad> LoadAggregator::take_own_changes() {
   std::vector<BackendLoad> changes;
   for (const auto& [backend, changed] : changed_backends_) {
     const auto own = own_sums_.find(backend);
@@ -94,7 +94,7 @@
   return changes;
 }
 
-std::vector<BackendLoad> LoadBook::own_sums() const {
+std::vector<BackendLoad> LoadAggregator::own_sums() const {
   std::vector<BackendLoad> sums;
   for (const auto& [backend, sum] : own_sums_) {
     sums.push_back(sum);
--- a/src/control/load_book.h
+++ b/src/control/load_aggregator.h
@@ -13,10 +13,10 @@
 namespace stoat::control {
 
 /// Aggregates the loads that all routers put on each backend.
-class LoadBook {
+class LoadAggregator {
  public:
   /// Replaces the loads of a router of this member. Backends that are not listed have none.
-  void set_router(const std::string& router, const std::vector<fleet::BackendLoad>& loads);
+  void set_router_loads(const std::string& router, const std::vector<fleet::BackendLoad>& loads);
   /// Removes a router that has disconnected, or that follows another member.
   void forget_router(const std::string& router);
   /// Applies changes to the sums of another member.
--- a/src/control/peer_feeds.cc
+++ b/src/control/peer_flow_control.cc
@@ -1,4 +1,4 @@
-#include "src/control/peer_feeds.h"
+#include "src/control/peer_flow_control.h"
 
 namespace stoat::control {
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-bool PeerFeeds::takes_news(const std::string& member, size_t unsent) {
+bool PeerFlowControl::accepts_update(const std::string& member, size_t unsent) {
   MemberState& state = members_[member];
   if (unsent >= kMaxUnsentUpdateBytes + state.full_state_bytes) {
     state.updates_missed = true;
@@ -25,18 +25,18 @@
   return !state.updates_missed;
 }
 
-void PeerFeeds::on_request(const std::string& member, TimePoint now) {
+void PeerFlowControl::on_request(const std::string& member, TimePoint now) {
   MemberState& state = members_[member];
   state.full_state_owed = state.full_state_owed || now >= state.next_full_state;
 }
 
-bool PeerFeeds::whole_due(const std::string& member, size_t unsent, TimePoint now) const {
+bool PeerFlowControl::full_state_due(const std::string& member, size_t unsent, TimePoint now) const {
   const auto state = members_.find(member);
   return state != members_.end() && state->second.full_state_owed && now >= state->second.next_full_state &&
          unsent <= kMaxUnsentBytesForFullState;
 }
 
-void PeerFeeds::on_whole_sent(const std::string& member, size_t bytes, TimePoint now) {
+void PeerFlowControl::on_full_state_sent(const std::string& member, size_t bytes, TimePoint now) {
   MemberState& state = members_[member];
   state.full_state_owed = false;
   state.updates_missed = false;
--- a/src/control/peer_feeds.h
+++ b/src/control/peer_flow_control.h
@@ -13,18 +13,18 @@
 
 /// Decides what may be sent to each member now. Members are identified by their internal address; `unsent` is
 /// the number of bytes queued on the connection to the member.
-class PeerFeeds {
+class PeerFlowControl {
  public:
   /// True when an update may be sent to a member. False when too much data is queued; the member then misses
   /// updates, and must be sent the full state.
-  bool takes_news(const std::string& member, size_t unsent);
+  bool accepts_update(const std::string& member, size_t unsent);
   /// Handles a member's request for the full state. It counts only once the last full state has had time to
   /// arrive: until then the member repeats requests that it made before it received that state.
   void on_request(const std::string& member, TimePoint now);
   /// True when the full state should be sent to a member now.
-  bool whole_due(const std::string& member, size_t unsent, TimePoint now) const;
+  bool full_state_due(const std::string& member, size_t unsent, TimePoint now) const;
   /// Records that the full state was sent; `bytes` is its size.
-  void on_whole_sent(const std::string& member, size_t bytes, TimePoint now);
+  void on_full_state_sent(const std::string& member, size_t bytes, TimePoint now);
 
  private:
   struct MemberState {
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -21,7 +21,7 @@
   /// Handles a router's status. Returns true when the router's record has changed.
   bool on_status(const fleet::RouterRecord& router, TimePoint now);
   /// Handles a notice of another member that a router follows it, or is no longer connected to it.
-  void on_notice(const std::string& member, const fleet::RouterNotice& notice, TimePoint now);
+  void on_notice(const std::string& member, const fleet::RouterPresence& notice, TimePoint now);
   /// Removes a router that is no longer connected to this member.
   void forget(const std::string& router);
   /// Records that another member is reachable, and with it the routers that it reported.
@@ -41,7 +41,8 @@
   /// (assign_routers_to_zones), most of which lie in it. All routers of the region when the region is small
   /// or too few of the assigned ones are ready, and routers of other regions only when the own region has
   /// none. The selection is stable, since callers leave a router that is no longer listed.
-  std::vector<fleet::RouterRecord> for_callers(const std::string& zone, size_t limit, TimePoint now) const;
+  std::vector<fleet::RouterRecord> select_for_callers(const std::string& zone, size_t limit,
+                                                      TimePoint now) const;
 
  private:
   struct KnownRouter {
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -5,19 +5,19 @@
 #include <string>
 #include <tuple>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "src/wire/channel.h"
 
 namespace stoat::control {
 
 /// Revisions sent to a router of those lists that only grow, or that are replaced as a whole. Routers with
 /// equal revisions are sent the same message.
-struct ToldRevisions {
+struct SentRevisions {
   uint64_t retired = 0;
   uint64_t weights = 0;
   uint64_t members = 0;
   uint64_t rollouts = 0;
-  bool operator<(const ToldRevisions& other) const {
+  bool operator<(const SentRevisions& other) const {
     return std::tie(retired, weights, members, rollouts) <
            std::tie(other.retired, other.weights, other.members, other.rollouts);
   }
@@ -29,20 +29,20 @@
   std::shared_ptr<wire::Channel> channel;
   TimePoint heard{0};
   bool silent = false;  ///< regarded as gone until its next status arrives
-  ToldRevisions told;
+  SentRevisions told;
   FeedCursor cursor;
-  uint64_t configuration_sent = 0;  ///< version sent last
+  uint64_t sent_configuration_version = 0;  ///< version sent last
   TimePoint configuration_sent_at{0};
   /// Highest spending number received on this connection; see fleet::RouterLoads.
-  uint64_t spending_taken = 0;
+  uint64_t acknowledged_spending_sequence = 0;
 
   /// Starts over on a new connection.
   void reconnect(const std::shared_ptr<wire::Channel>& connection) {
     channel = connection;
     told = {};
     cursor = {};
-    configuration_sent = 0;
-    spending_taken = 0;
+    sent_configuration_version = 0;
+    acknowledged_spending_sequence = 0;
   }
 };
 
--- a/src/control/weight_rollout.cc
+++ b/src/control/weight_rollout.cc
@@ -10,11 +10,11 @@
 using fleet::BackendRecord;
 using fleet::BackendState;
 using fleet::ModelVersion;
-using fleet::NamedWeights;
+using fleet::TargetWeights;
 
 /// The first outdated model of an engine, with the version that it should have; empty when no model is
 /// outdated.
-ModelVersion outdated_model(const BackendRecord& engine, const NamedWeights& weights) {
+ModelVersion outdated_model(const BackendRecord& engine, const TargetWeights& weights) {
   for (const ModelVersion& entry : engine.models) {
     const auto named = weights.find(entry.model);
     if (named != weights.end() && entry.version < named->second.newest()) {
@@ -25,14 +25,14 @@
 }
 
 /// Since when an engine should have had other weights; nullopt when it has the newest ones.
-std::optional<TimePoint> outdated_since(const BackendRecord& engine, const NamedWeights& weights) {
+std::optional<TimePoint> outdated_since(const BackendRecord& engine, const TargetWeights& weights) {
   const std::string model = outdated_model(engine, weights).model;
   const auto history = weights.find(model);
   return history == weights.end() ? std::nullopt : history->second.outdated_since(engine.version_of(model));
 }
 
 /// The engine's version of the model that outdated_model() returns.
-uint64_t outdated_model_version(const BackendRecord& engine, const NamedWeights& weights) {
+uint64_t outdated_model_version(const BackendRecord& engine, const TargetWeights& weights) {
   return engine.version_of(outdated_model(engine, weights).model);
 }
 
@@ -50,7 +50,7 @@
 }
 
 std::vector<RolloutStep> WeightRollout::plan(const std::vector<BackendRecord>& engines,
-                                             const NamedWeights& weights, TimePoint now) {
+                                             const TargetWeights& weights, TimePoint now) {
   std::vector<RolloutStep> steps;
   std::map<std::string, const BackendRecord*> by_id;
   engine_counts_.clear();
@@ -87,7 +87,7 @@
 }
 
 std::vector<const BackendRecord*> WeightRollout::outdated_engines(const std::vector<BackendRecord>& engines,
-                                                                  const NamedWeights& weights,
+                                                                  const TargetWeights& weights,
                                                                   TimePoint now) const {
   std::vector<const BackendRecord*> list;
   for (const BackendRecord& engine : engines) {
@@ -107,7 +107,7 @@
 }
 
 std::vector<const BackendRecord*> WeightRollout::announced_engines(
-    const std::map<std::string, const BackendRecord*>& engines, const NamedWeights& weights) const {
+    const std::map<std::string, const BackendRecord*>& engines, const TargetWeights& weights) const {
   std::vector<const BackendRecord*> list;
   for (const auto& [id, load] : loads_) {
     if (load.phase == Phase::kAnnounced && !load.awaiting_answer) {
@@ -140,7 +140,7 @@
   }));
 }
 
-void WeightRollout::start_loads(const std::vector<BackendRecord>& engines, const NamedWeights& weights,
+void WeightRollout::start_loads(const std::vector<BackendRecord>& engines, const TargetWeights& weights,
                                 TimePoint now, std::vector<RolloutStep>& steps) {
   std::map<std::string, size_t> in_progress_by_service;
   for (const BackendRecord& engine : engines) {
@@ -205,12 +205,12 @@
       load.next_step_at = now + options_.first_check;
       ++order_sequences_[engine];
       break;
-    case OrderAnswer::kHoldsAlready:
+    case OrderAnswer::kAlreadyLoaded:
     case OrderAnswer::kConflict:
     case OrderAnswer::kNone:
       // Query the engine's state next: the order may have been accepted, or another one may be in progress.
       load.phase = Phase::kOutcomeUnknown;
-      load.next_step_at = now + (answer == OrderAnswer::kHoldsAlready ? Duration(0) : options_.retry_delay);
+      load.next_step_at = now + (answer == OrderAnswer::kAlreadyLoaded ? Duration(0) : options_.retry_delay);
       break;
     case OrderAnswer::kFenced:
     case OrderAnswer::kRefused:
--- a/src/control/weight_rollout.h
+++ b/src/control/weight_rollout.h
@@ -40,12 +40,12 @@
 
 /// The answer to an order.
 enum class OrderAnswer : uint8_t {
-  kTaken,         ///< accepted
-  kHoldsAlready,  ///< the engine has the version already
-  kConflict,      ///< another order is in progress, or the sequence differs
-  kFenced,        ///< the engine has seen a higher fencing token
-  kRefused,       ///< any other refusal; certainly not accepted
-  kNone,          ///< no answer: the order may have been accepted, or may still be executed
+  kTaken,          ///< accepted
+  kAlreadyLoaded,  ///< the engine has the version already
+  kConflict,       ///< another order is in progress, or the sequence differs
+  kFenced,         ///< the engine has seen a higher fencing token
+  kRefused,        ///< any other refusal; certainly not accepted
+  kNone,           ///< no answer: the order may have been accepted, or may still be executed
 };
 
 /// One step for the caller of WeightRollout::plan() to carry out.
@@ -70,7 +70,7 @@
   /// operators, with the time when each was named; the caller keeps them, since they must survive a change of
   /// leadership.
   std::vector<RolloutStep> plan(const std::vector<fleet::BackendRecord>& engines,
-                                const fleet::NamedWeights& weights, TimePoint now);
+                                const fleet::TargetWeights& weights, TimePoint now);
   void on_order_answer(const std::string& engine, OrderAnswer answer, TimePoint now);
   void on_report(const std::string& engine, const EngineReport& report, TimePoint now);
   /// True when an engine has seen a fencing token above this leader's, which must then stop sending orders.
@@ -92,7 +92,7 @@
   /// Announced engines that wait for their order, those with the oldest weights first.
   std::vector<const fleet::BackendRecord*> announced_engines(
       const std::map<std::string, const fleet::BackendRecord*>& engines,
-      const fleet::NamedWeights& weights) const;
+      const fleet::TargetWeights& weights) const;
   /// Number of a service's engines that were sent an order.
   size_t count_ordered(const std::string& service) const;
   /// Maximum number of a service's engines that may load at a time.
@@ -100,9 +100,9 @@
   /// Maximum number of a service's engines that may be announced or loading at a time.
   size_t max_engines_in_progress(const std::string& service) const;
   std::vector<const fleet::BackendRecord*> outdated_engines(const std::vector<fleet::BackendRecord>& engines,
-                                                            const fleet::NamedWeights& weights,
+                                                            const fleet::TargetWeights& weights,
                                                             TimePoint now) const;
-  void start_loads(const std::vector<fleet::BackendRecord>& engines, const fleet::NamedWeights& weights,
+  void start_loads(const std::vector<fleet::BackendRecord>& engines, const fleet::TargetWeights& weights,
                    TimePoint now, std::vector<RolloutStep>& steps);
   void advance(const fleet::BackendRecord& engine, Load& load, TimePoint now,
                std::vector<RolloutStep>& steps);
--- a/src/delivery/window_budget.h
+++ b/src/delivery/retry_budget.h
@@ -10,7 +10,7 @@
 namespace stoat::delivery {
 
 /// The retry budget of the whole fleet.
-struct WindowBudgetOptions {
+struct RetryBudgetOptions {
   double ratio = 0.2;  ///< retries per request in the window
   double slack = 50;   ///< retries allowed in addition, over all routers
   Duration window = 10s;
@@ -20,11 +20,11 @@
 /// Estimates the number of routers that share the fixed part of the budget, erring on the high side: after a
 /// restart of the fleet, the control plane learns of one router after the other, and retries of routers that
 /// have gone still count for a window.
-class SharingRouters {
+class RouterCountEstimate {
  public:
   /// `settle`: time for which a lower count must be reported before it applies. 0: counts apply at once, and
   /// the initial count is 1.
-  explicit SharingRouters(Duration settle)
+  explicit RouterCountEstimate(Duration settle)
       : settle_(settle), count_(settle > Duration(0) ? kAssumedRouters : 1) {}
   /// The control plane reports `count` routers. A lower count applies once no higher one was reported for the
   /// settle time.
@@ -49,9 +49,9 @@
 };
 
 /// See the head of this file. One for each service.
-class WindowBudget {
+class RetryBudget {
  public:
-  explicit WindowBudget(const WindowBudgetOptions& options) : options_(options) {}
+  explicit RetryBudget(const RetryBudgetOptions& options) : options_(options) {}
 
   void on_request(TimePoint now) { ++bucket(now).requests; }
   /// Takes one retry from the budget; false if it is used up. `routers`: number that share the fixed part.
@@ -95,7 +95,7 @@
     return present;
   }
 
-  WindowBudgetOptions options_;
+  RetryBudgetOptions options_;
   std::array<Bucket, kBuckets> buckets_{};
 };
 
--- a/src/dispatch/request_run.cc
+++ b/src/dispatch/active_request.cc
@@ -1,4 +1,4 @@
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 #include <event2/event.h>
 
@@ -28,7 +28,7 @@
 /// it are dropped.
 constexpr size_t kMaxBufferedBody = 4U << 20U;
 
-placement::PromptChain make_chain(const RunPlan& plan) {
+placement::PromptChain make_chain(const RoutedRequest& plan) {
   placement::PromptChain chain;
   const std::string owner = plan.cache_owner();
   uint32_t total = 0;
@@ -40,14 +40,14 @@
   return chain;
 }
 
-uint64_t fingerprint_of(const RunPlan& plan) {
+uint64_t fingerprint_of(const RoutedRequest& plan) {
   return request_fingerprint(plan.request, plan.tenant == nullptr ? plan.fields.key : plan.tenant->name);
 }
 
 }  // namespace
 
-RequestRun::RequestRun(DispatchContext& context, RunPlan plan, std::shared_ptr<edge::CallerAnswer> answer,
-                       DoneHandler on_done)
+ActiveRequest::ActiveRequest(DispatchContext& context, RoutedRequest plan,
+                             std::shared_ptr<edge::CallerAnswer> answer, DoneHandler on_done)
     : context_(context),
       plan_(std::move(plan)),
       answer_(std::move(answer)),
@@ -56,13 +56,13 @@
       last_event_id_(plan_.fields.last_event_id),
       story_(plan_.fields.id) {
   const auto on_timeout = [](evutil_socket_t, short, void* run) {
-    static_cast<RequestRun*>(run)->on_timer();
+    static_cast<ActiveRequest*>(run)->on_timer();
   };
   timer_ = event_new(context.loop.base(), -1, 0, on_timeout, this);
   answer_->set_flow_handler([this](bool paused) { on_flow_control(paused); });
 }
 
-RequestRun::~RequestRun() {
+ActiveRequest::~ActiveRequest() {
   if (!finished_) {
     answer_->set_flow_handler(nullptr);
   }
@@ -73,14 +73,14 @@
   }
 }
 
-void RequestRun::arm_timer(TimePoint at) {
+void ActiveRequest::arm_timer(TimePoint at) {
   constexpr int64_t kMicrosecondsPerSecond = 1000000;
   const int64_t delay = std::max<int64_t>(0, (at - context_.loop.now()).count());
   const timeval interval{delay / kMicrosecondsPerSecond, delay % kMicrosecondsPerSecond};
   event_add(timer_, &interval);
 }
 
-void RequestRun::start() {
+void ActiveRequest::start() {
   const fleet::Route& route = *plan_.route;
   int64_t limit_ms = route.timeout_ms;
   if (plan_.fields.deadline_ms) {
@@ -101,19 +101,19 @@
   try_dispatch();
 }
 
-TimePoint RequestRun::wait_limit() const {
+TimePoint ActiveRequest::wait_limit() const {
   // Applies also while no back end may take the request: one round of updates from the control plane reports
   // back ends that have joined or are usable again.
-  const TimePoint usual = admission::wait_limit(times(), context_.load_limits);
+  const TimePoint usual = admission::wait_limit(times(), context_.admission_thresholds);
   if (context_.pool.count(plan_.service) > 0) {
     return usual;
   }
   // The feed may come from a control member that has not received any heartbeat yet.
   const TimePoint longest = plan_.arrived + (deadline_ - plan_.arrived) / kStartupWaitDivisor;
-  return std::max(usual, std::min(longest, context_.starts_until));
+  return std::max(usual, std::min(longest, context_.startup_ends_at));
 }
 
-void RequestRun::on_timer() {
+void ActiveRequest::on_timer() {
   const auto keep = shared_from_this();
   const TimePoint now = context_.loop.now();
   if (waiting_ && now < deadline_) {
@@ -127,7 +127,7 @@
   fail_request("time-out");
 }
 
-void RequestRun::try_dispatch() {
+void ActiveRequest::try_dispatch() {
   if (blocked_by_crashes()) {
     return;
   }
@@ -157,7 +157,7 @@
   schedule_poll();
 }
 
-void RequestRun::schedule_poll() {
+void ActiveRequest::schedule_poll() {
   if (!waiting_) {
     log_waiting();
   }
@@ -165,14 +165,14 @@
   arm_timer(std::min(wait_deadline_, context_.loop.now() + kBackendPollInterval));
 }
 
-void RequestRun::release_pending_prefill() {
+void ActiveRequest::release_pending_prefill() {
   if (backend_ != nullptr && pending_prefill_tokens_ > 0) {
     backend_->prefill_tokens -= std::min(backend_->prefill_tokens, pending_prefill_tokens_);
     pending_prefill_tokens_ = 0;
   }
 }
 
-void RequestRun::finish_exchange(bool keep_connection) {
+void ActiveRequest::finish_exchange(bool keep_connection) {
   if (backend_ == nullptr) {
     return;
   }
@@ -190,19 +190,19 @@
   backend_ = nullptr;
 }
 
-void RequestRun::note_activity() {
+void ActiveRequest::note_activity() {
   last_activity_ = context_.loop.now();
   backend_->last_received_at = last_activity_;
 }
 
-void RequestRun::on_flow_control(bool paused) {
+void ActiveRequest::on_flow_control(bool paused) {
   paused_ = paused;
   if (connection_ != nullptr) {
     connection_->set_reading(!paused);
   }
 }
 
-void RequestRun::check_silence() {
+void ActiveRequest::check_silence() {
   if (backend_ == nullptr || paused_) {
     return;
   }
@@ -217,7 +217,7 @@
   context_.pool.probe(backend_);
 }
 
-void RequestRun::on_response_head(int status, const http1::Headers& headers) {
+void ActiveRequest::on_response_head(int status, const http1::Headers& headers) {
   note_activity();
   head_.status = status;
   head_.headers = http1::Headers();
@@ -248,7 +248,7 @@
   }
 }
 
-void RequestRun::on_response_body(std::string_view piece) {
+void ActiveRequest::on_response_body(std::string_view piece) {
   note_activity();
   if (kind_ == ResponseKind::kEventStream) {
     const auto keep = shared_from_this();
@@ -260,7 +260,7 @@
   }
 }
 
-void RequestRun::forward_event(const delivery::StreamEvent& event) {
+void ActiveRequest::forward_event(const delivery::StreamEvent& event) {
   if (finished_) {
     return;
   }
@@ -290,12 +290,12 @@
   answer_->send(event.bytes);
 }
 
-void RequestRun::on_response_complete() {
+void ActiveRequest::on_response_complete() {
   const auto keep = shared_from_this();
   if (kind_ == ResponseKind::kNotRun) {
     context_.pool.outliers().on_success(backend_->record.id);
     story_.add(events::RequestNotRun{backend_->record.id, head_.status});
-    record_rollout_end(rollout::SendEnd::kNotRun);
+    record_rollout_end(rollout::SendOutcome::kNotRun);
     finish_exchange(true);
     on_not_run(true);
     return;
@@ -308,7 +308,7 @@
     context_.pool.outliers().on_success(backend_->record.id);
     clear_crash_suspicion();
     observe_run_time();
-    record_rollout_end(rollout::SendEnd::kAnswered);
+    record_rollout_end(rollout::SendOutcome::kAnswered);
     finish_exchange(true);
     if (!streaming_) {
       answer_->start(head_);
@@ -324,9 +324,9 @@
   on_exchange_failure(ExchangeFailure::kMalformed);
 }
 
-void RequestRun::finish_buffered_response() {
+void ActiveRequest::finish_buffered_response() {
   const bool failed = head_.status >= kFirstServerError;
-  record_rollout_end(failed ? rollout::SendEnd::kFailed : rollout::SendEnd::kAnswered);
+  record_rollout_end(failed ? rollout::SendOutcome::kFailed : rollout::SendOutcome::kAnswered);
   if (failed && plan_.route->repeatable()) {
     // The engine itself failed: retry at another one, or else relay this response.
     ++runs_;
@@ -360,7 +360,7 @@
   finish_request(failed ? "engine failure" : "complete", head_.status);
 }
 
-const char* RequestRun::retry_denial_reason(bool known_not_executed) {
+const char* ActiveRequest::retry_denial_reason(bool known_not_executed) {
   const TimePoint now = context_.loop.now();
   if (now >= deadline_) {
     return "no time left";
@@ -380,13 +380,13 @@
   }
   // A request that never reached a back end put no load on the service, and is not charged to the retry
   // budget.
-  if (not_delivered || context_.budget_of(plan_.service).take(now, context_.sharing_routers.count())) {
+  if (not_delivered || context_.budget_of(plan_.service).take(now, context_.router_count_estimate.count())) {
     return nullptr;
   }
   return "no budget for repeats";
 }
 
-bool RequestRun::may_retry(bool known_not_executed) {
+bool ActiveRequest::may_retry(bool known_not_executed) {
   const char* reason = retry_denial_reason(known_not_executed);
   if (reason != nullptr) {
     story_.add(events::NotSentAgain{reason});
@@ -394,7 +394,7 @@
   return reason == nullptr;
 }
 
-void RequestRun::on_not_run(bool delivered) {
+void ActiveRequest::on_not_run(bool delivered) {
   outcome_unknown_ = false;
   refusals_ += delivered ? 1 : 0;  // a failed connection costs nothing, and each back end is tried only once
   delivered_ = delivered;
@@ -410,11 +410,11 @@
   fail_request("refused by back ends");
 }
 
-void RequestRun::on_exchange_failure(ExchangeFailure failure) {
+void ActiveRequest::on_exchange_failure(ExchangeFailure failure) {
   const auto keep = shared_from_this();
   const TimePoint now = context_.loop.now();
   if (failure == ExchangeFailure::kNotConnected || failure == ExchangeFailure::kSilent) {
-    context_.tell_unreachable(backend_->record.id);
+    context_.report_unreachable(backend_->record.id);
   }
   if (failure == ExchangeFailure::kNotConnected || failure == ExchangeFailure::kSilent) {
     context_.pool.outliers().on_unreachable(backend_->record.id, now);
--- a/src/dispatch/request_run.h
+++ b/src/dispatch/active_request.h
@@ -9,16 +9,16 @@
 #include <string>
 
 #include "src/admission/backend_limits.h"
-#include "src/admission/crash_book.h"
+#include "src/admission/crash_history.h"
 #include "src/admission/load_admission.h"
-#include "src/admission/quota_gate.h"
+#include "src/admission/quota_enforcer.h"
 #include "src/admission/request_queue.h"
-#include "src/admission/return_schedule.h"
+#include "src/admission/retry_scheduler.h"
 #include "src/common/log.h"
 #include "src/common/metrics.h"
 #include "src/common/random.h"
 #include "src/delivery/event_splitter.h"
-#include "src/delivery/window_budget.h"
+#include "src/delivery/retry_budget.h"
 #include "src/dispatch/backend_pool.h"
 #include "src/dispatch/request_fields.h"
 #include "src/dispatch/store_set.h"
@@ -28,7 +28,7 @@
 #include "src/fleet/fleet_messages.h"
 #include "src/fleet/version_history.h"
 #include "src/placement/cache_namespace.h"
-#include "src/placement/plain_placement.h"
+#include "src/placement/nearest_placement.h"
 #include "src/rollout/answer_counter.h"
 #include "src/rollout/service_versions.h"
 #include "src/routing/route_table.h"
@@ -65,42 +65,44 @@
   events::StoryBook& stories;
   Random random{0};
   topology::Topology topology = {};
-  topology::Place place = {};  ///< location of this router
+  topology::Location place = {};  ///< location of this router
   uint32_t router_count = 1;
-  delivery::SharingRouters sharing_routers{10s};  ///< share the fixed part of the retry budget
+  delivery::RouterCountEstimate router_count_estimate{10s};  ///< share the fixed part of the retry budget
   /// Engines with older weights are no longer used after this time since the newer version was announced.
-  Duration old_weights_limit = 6s;
-  delivery::WindowBudgetOptions budget_options = {};
-  std::map<std::string, delivery::WindowBudget> budgets = {};  ///< retry budgets by service
-  fleet::NamedWeights wanted = {};                             ///< announced weights versions by model
+  Duration old_weights_timeout = 6s;
+  delivery::RetryBudgetOptions budget_options = {};
+  std::map<std::string, delivery::RetryBudget> budgets = {};  ///< retry budgets by service
+  fleet::TargetWeights wanted = {};                           ///< announced weights versions by model
   StoreSet stores = {};
   /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
-  std::function<void(fleet::ChainPlacement)> tell_placement = [](const fleet::ChainPlacement&) {};
+  std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
   /// Reports to the control plane that a back end could not be reached.
-  std::function<void(const std::string&)> tell_unreachable = [](const std::string&) {};
+  std::function<void(const std::string&)> report_unreachable = [](const std::string&) {};
   /// Confirms as crashes the broken exchanges at a back end that ended without deregistering. `sign` names
   /// how this was detected: "refused", "gone" or "lost".
   std::function<void(Backend&, const char* sign)> note_crash = [](Backend&, const char*) {};
   placement::PlacementCosts costs = {};
   std::map<std::string, placement::ServiceSpeed> speeds = {};             ///< by service
   std::map<std::string, admission::RequestQueue> queues = {};             ///< by service
-  std::map<std::string, admission::ReturnSchedule> retry_schedules = {};  ///< by service
-  admission::LoadLimits load_limits = {};
-  Duration longest_return = 10s;  ///< upper limit of the Retry-After of requests refused for load
-  std::map<std::string, placement::WorkTime> call_times = {};  ///< of requests without a prompt, by service
-  admission::QuotaGate quotas{{}, 0};
+  std::map<std::string, admission::RetryScheduler> retry_schedules = {};  ///< by service
+  admission::AdmissionThresholds admission_thresholds = {};
+  Duration max_retry_after = 10s;  ///< upper limit of the Retry-After of requests refused for load
+  std::map<std::string, placement::CallDuration> call_times =
+      {};  ///< of requests without a prompt, by service
+  admission::QuotaEnforcer quotas{{}, 0};
   /// End of the start-up phase, in which a service without known back ends may still have some.
-  TimePoint starts_until{0};
+  TimePoint startup_ends_at{0};
   admission::BackendLimits limits = {};
   /// Asks the control plane for the permits that requests need (see BackendLimits::want).
   std::function<void()> ask_for_permits = [] {};
-  admission::CrashBook crashes{};
+  admission::CrashHistory crashes{};
   /// Logs that the crash history of a request has changed. `request`: its fingerprint. `source`: the cause.
-  std::function<void(uint64_t request, const char* source)> note_standing = [](uint64_t, const char*) {};
+  std::function<void(uint64_t request, const char* source)> log_standing_change = [](uint64_t, const char*) {
+  };
   rollout::ServiceVersions versions = {};
   rollout::AnswerCounter answers = {};  ///< responses of services with a rollout in progress
 
-  delivery::WindowBudget& budget_of(const std::string& service) {
+  delivery::RetryBudget& budget_of(const std::string& service) {
     return budgets.try_emplace(service, budget_options).first->second;
   }
 };
@@ -110,7 +112,7 @@
 void note_survival(DispatchContext& context, Backend& backend, TimePoint sent_at);
 
 /// An accepted request with its resolved route, tenant and service: all that is fixed before it is sent.
-struct RunPlan {
+struct RoutedRequest {
   edge::CallerRequest request;
   RequestFields fields;
   std::shared_ptr<const routing::RouteTable> table;  ///< keeps route and tenant alive
@@ -131,12 +133,12 @@
 /// KV cache transfers of one attempt: where its engine loads cache from and where it stores what it has
 /// prefilled. Addresses; empty: none.
 struct CachePlan {
-  std::string source = {};            ///< engine or store to load from
-  std::string target = {};            ///< store to write to
-  std::string backup = {};            ///< engine that receives a backup of the run's KV cache
-  std::string resume_from = {};       ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
-  uint32_t candidates = 1;            ///< number of engines that it was placed among, for the log
-  topology::Place source_place = {};  ///< location of `source`; meaningless without one
+  std::string source = {};               ///< engine or store to load from
+  std::string target = {};               ///< store to write to
+  std::string backup = {};               ///< engine that receives a backup of the run's KV cache
+  std::string resume_from = {};          ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
+  uint32_t candidates = 1;               ///< number of engines that it was placed among, for the log
+  topology::Location source_place = {};  ///< location of `source`; meaningless without one
 };
 
 /// Forecast of the first event of an attempt, and its inputs, as of the time of sending.
@@ -150,14 +152,14 @@
 
 /// See the head of this file. Lives until its final response or the caller's disconnect; on_done is then
 /// called.
-class RequestRun : public ExchangeListener, public std::enable_shared_from_this<RequestRun> {
+class ActiveRequest : public ExchangeListener, public std::enable_shared_from_this<ActiveRequest> {
  public:
-  using DoneHandler = std::function<void(RequestRun*)>;
-  RequestRun(DispatchContext& context, RunPlan plan, std::shared_ptr<edge::CallerAnswer> answer,
-             DoneHandler on_done);
-  ~RequestRun() override;
-  RequestRun(const RequestRun&) = delete;
-  RequestRun& operator=(const RequestRun&) = delete;
+  using DoneHandler = std::function<void(ActiveRequest*)>;
+  ActiveRequest(DispatchContext& context, RoutedRequest plan, std::shared_ptr<edge::CallerAnswer> answer,
+                DoneHandler on_done);
+  ~ActiveRequest() override;
+  ActiveRequest(const ActiveRequest&) = delete;
+  ActiveRequest& operator=(const ActiveRequest&) = delete;
 
   void start();
   /// Ends the request without a response, for instance when the caller has disconnected, and cancels it at
@@ -236,13 +238,13 @@
   std::vector<BackendPtr> cache_sources_in_subset(size_t candidates) const;
   /// Ready back ends of the subset.
   std::vector<BackendPtr> ready_in_subset() const;
-  placement::EngineView view_of(const Backend& backend, double usual_others) const;
-  /// The known load of a back end. `usual_others`: see EngineQueue.
-  placement::EngineQueue queue_of(const Backend& backend, double usual_others) const;
+  placement::EngineView view_of(const Backend& backend, double mean_others_outstanding) const;
+  /// The known load of a back end. `mean_others_outstanding`: see EngineQueue.
+  placement::EngineQueue queue_of(const Backend& backend, double mean_others_outstanding) const;
   /// Mean number of other routers' requests per ready back end of the subset.
-  double usual_others() const;
+  double mean_others_outstanding() const;
   /// Records the forecast for the attempt that is about to be sent.
-  void expect_first_event(double usual_others);
+  void expect_first_event(double mean_others_outstanding);
   /// Updates the latency model with the first event from backend_.
   void observe_first_event_latency();
   /// Updates the latency model with how long the completed run at backend_ occupied a slot.
@@ -252,7 +254,7 @@
   /// Counts the attempt at backend_, and below its outcome, while its service has a rollout in progress.
   void record_rollout_send();
   void record_rollout_first_event();
-  void record_rollout_end(rollout::SendEnd end);
+  void record_rollout_end(rollout::SendOutcome end);
   void record_rollout_failure(ExchangeFailure failure);
   /// Decides whether the request is in the share sent to the version on trial (the canary).
   void sample_for_trial();
@@ -276,8 +278,8 @@
   Duration compute_retry_after(Duration wait);
   /// Chooses one of the candidates, of which there is at least one, and sends the request there.
   void dispatch(const std::vector<BackendPtr>& candidates);
-  /// Sends the request on an idle or a new connection. `usual_others`: see EngineQueue.
-  void send_to(const BackendPtr& backend, CachePlan cache, double usual_others);
+  /// Sends the request on an idle or a new connection. `mean_others_outstanding`: see EngineQueue.
+  void send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding);
   /// Adds the prompt tokens that the engine has to prefill for this request to its pending ones.
   void add_pending_prefill(const CachePlan& cache);
   /// Records that the engine, and the store that it writes to, now hold the prompt's shared parts, and
@@ -296,12 +298,12 @@
   const BackendPtr& choose_without_prompt(const std::vector<BackendPtr>& candidates,
                                           const std::vector<placement::EngineView>& views);
   /// Plans the KV cache transfers of an attempt at `target`. `holder`: the engine to load from, or nullptr;
-  /// `store`: the store of the prompt chain, or nullptr. `store_pays`: loading the shared parts from the
-  /// store is expected to be faster than prefilling them.
+  /// `store`: the store of the prompt chain, or nullptr. `worth_taking_from_store`: loading the shared parts
+  /// from the store is expected to be faster than prefilling them.
   CachePlan plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
-                       bool store_pays) const;
+                       bool worth_taking_from_store) const;
   /// Location of a store; if it is not configured, a zone of its own.
-  topology::Place place_of_store(const std::string& address) const;
+  topology::Location place_of_store(const std::string& address) const;
   /// Counts the network distances of the attempt and of its KV cache source, and adds them to the log event.
   void note_distances(const Backend& target, const CachePlan& cache, events::RequestSent& sent) const;
   /// Updates the service's call time with a completed request without a prompt.
@@ -363,7 +365,7 @@
   void finish_request(const char* outcome, int status);
 
   DispatchContext& context_;
-  RunPlan plan_;
+  RoutedRequest plan_;
   std::shared_ptr<edge::CallerAnswer> answer_;
   DoneHandler on_done_;
   event* timer_ = nullptr;
@@ -379,8 +381,8 @@
   uint32_t runs_ = 0;             ///< engines that may have executed it
   uint32_t refusals_ = 0;         ///< engines that stated that they did not execute it
   std::set<std::string> tried_;
-  bool in_trial_sample_ = false;                      ///< it goes to the version on trial
-  std::optional<rollout::CountedSend> rollout_send_;  ///< of the exchange at backend_
+  bool in_trial_sample_ = false;                         ///< it goes to the version on trial
+  std::optional<rollout::CountedRequest> rollout_send_;  ///< of the exchange at backend_
   placement::PromptChain chain_;
   const uint64_t fingerprint_;  ///< see request_fingerprint()
 
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -17,7 +17,7 @@
 #include "src/fleet/backend_record.h"
 #include "src/fleet/fleet_messages.h"
 #include "src/placement/first_event_model.h"
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 
 namespace stoat::dispatch {
 
@@ -39,7 +39,7 @@
   fleet::BackendRecord record;
   Endpoint endpoint;
   uint64_t name_hash = 0;
-  topology::Place place;
+  topology::Location place;
   std::vector<std::shared_ptr<BackendConnection>> idle;  ///< most recently used last
   size_t connections = 0;                                ///< idle and in use, probes included
   uint32_t outstanding = 0;                              ///< own requests in progress
@@ -48,7 +48,7 @@
   fleet::BackendLoad published;     ///< own part of it, as last published
   uint32_t others_outstanding = 0;  ///< requests of other routers: all_routers less published
   uint64_t others_prefill_tokens = 0;
-  placement::ChainMemory memory;
+  placement::KvCacheEstimate memory;
   placement::EngineSpeed speed;
   BackendBackoff backoff;
   TimePoint last_received_at{0};             ///< when this router last received data from it
@@ -85,9 +85,9 @@
   /// Sets the load of all routers together at a back end, this router's included.
   void set_total_load(const fleet::BackendLoad& load);
   /// Records the own loads that this router has published. The totals will include them soon.
-  void set_told_loads(const std::vector<fleet::BackendLoad>& loads);
+  void set_published_loads(const std::vector<fleet::BackendLoad>& loads);
   /// Marks the totals as current: the control member that reports them is connected and sends all changes.
-  void note_totals_told(TimePoint now) { totals_updated_at_ = now; }
+  void note_totals_current(TimePoint now) { totals_updated_at_ = now; }
   /// Time since the totals were last current.
   Duration total_load_age(TimePoint now) const { return now - std::min(now, totals_updated_at_); }
   /// Clears the totals, before another control member reports them.
--- a/src/dispatch/request_run_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -1,8 +1,8 @@
-/// RequestRun: load admission. Decides whether a request is sent, waits for a slot, or is refused.
+/// ActiveRequest: load admission. Decides whether a request is sent, waits for a slot, or is refused.
 #include <algorithm>
 #include <limits>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-uint32_t RequestRun::urgency() const {
+uint32_t ActiveRequest::urgency() const {
   const uint32_t tenant_priority = plan_.tenant == nullptr ? 0 : plan_.tenant->priority;
   return std::min(kMaxUrgency, tenant_priority * kRoutePriorities + plan_.route->priority);
 }
 
-admission::RequestTimes RequestRun::times() const { return {plan_.arrived, deadline_}; }
+admission::RequestTimes ActiveRequest::times() const { return {plan_.arrived, deadline_}; }
 
-admission::ServiceOutlook RequestRun::outlook(const std::vector<BackendPtr>& candidates) const {
+admission::ServiceOutlook ActiveRequest::outlook(const std::vector<BackendPtr>& candidates) const {
   const auto free = [](const BackendPtr& backend) { return backend->has_free_slot(); };
   if (std::any_of(candidates.begin(), candidates.end(), free)) {
     return {};
@@ -33,7 +33,7 @@
   // that can meet its deadline that way is not refused.
   const uint32_t own_tokens =
       chain_.prompt_tokens - std::min(chain_.prompt_tokens, placement::shared_tokens(chain_));
-  const double others = usual_others();
+  const double others = mean_others_outstanding();
   double wait_ms = std::numeric_limits<double>::max();
   double answer_ms = 0;
   double taken = 0;
@@ -43,22 +43,22 @@
     const auto forecast = placement::expect_first_event(speed, backend->speed, queue, own_tokens);
     if (forecast.wait_ms() < wait_ms) {
       wait_ms = forecast.wait_ms();
-      answer_ms = forecast.reading_ms + forecast.base_ms;
+      answer_ms = forecast.prefill_ms + forecast.base_ms;
     }
-    taken += placement::present_outstanding(queue, speed.run_ms());
+    taken += placement::estimate_outstanding(queue, speed.run_ms());
     slots += queue.slots;
   }
   return {from_fractional_ms(wait_ms), from_fractional_ms(answer_ms),
           from_fractional_ms(speed.long_answer_ms()), taken / slots};
 }
 
-bool RequestRun::has_room() const {
+bool ActiveRequest::has_room() const {
   const std::vector<BackendPtr> found = candidates();
-  return !found.empty() && admission::decide(times(), outlook(found), context_.load_limits,
-                                             context_.loop.now()) == admission::Verdict::kSend;
+  return !found.empty() && admission::decide(times(), outlook(found), context_.admission_thresholds,
+                                             context_.loop.now()) == admission::AdmissionVerdict::kSend;
 }
 
-void RequestRun::log_waiting() {
+void ActiveRequest::log_waiting() {
   events::RequestWaits waits;
   for (const BackendPtr& backend : ready_in_subset()) {
     ++waits.known;
@@ -69,7 +69,7 @@
   story_.add(waits);
 }
 
-void RequestRun::admit(const std::vector<BackendPtr>& candidates) {
+void ActiveRequest::admit(const std::vector<BackendPtr>& candidates) {
   // A retry of a request that an engine may have begun, such as a stream to be continued, is not queued.
   if (executed_ != Executed::kNo) {
     dispatch(candidates);
@@ -79,16 +79,17 @@
   const bool wait_expired = now >= wait_deadline_;
   const admission::ServiceOutlook known = outlook(candidates);
   if (known.answer > Duration(0) && queue_number_ == 0) {
-    context_.speeds[plan_.service].note_answer(to_fractional_ms(known.answer));
+    context_.speeds[plan_.service].record_expected_answer(to_fractional_ms(known.answer));
   }
-  const admission::Verdict verdict = admission::decide(times(), known, context_.load_limits, now);
-  if (verdict == admission::Verdict::kRefuse) {
+  const admission::AdmissionVerdict verdict =
+      admission::decide(times(), known, context_.admission_thresholds, now);
+  if (verdict == admission::AdmissionVerdict::kRefuse) {
     refuse_for_load(known);
     return;
   }
   admission::RequestQueue& queue = context_.queues[plan_.service];
-  const bool is_next = wait_expired || (queue_number_ == 0 && queue.nothing_before(urgency()));
-  if (verdict == admission::Verdict::kSend && is_next) {
+  const bool is_next = wait_expired || (queue_number_ == 0 && queue.none_as_urgent(urgency()));
+  if (verdict == admission::AdmissionVerdict::kSend && is_next) {
     leave_queue();
     dispatch(candidates);
     return;
@@ -97,7 +98,7 @@
   queue.send_ready();
 }
 
-void RequestRun::wait_for_slot(const admission::ServiceOutlook& known) {
+void ActiveRequest::wait_for_slot(const admission::ServiceOutlook& known) {
   const TimePoint now = context_.loop.now();
   waiting_ = true;
   arm_timer(std::min(now + kSlotPollInterval, wait_deadline_));
@@ -122,7 +123,7 @@
                                        }});
 }
 
-void RequestRun::leave_queue() {
+void ActiveRequest::leave_queue() {
   waiting_ = false;
   if (queue_number_ == 0) {
     return;
@@ -133,13 +134,13 @@
                            {{"route", plan_.route->name}});
 }
 
-void RequestRun::refuse_for_load(const admission::ServiceOutlook& known) {
+void ActiveRequest::refuse_for_load(const admission::ServiceOutlook& known) {
   leave_queue();
   context_.metrics.count("stoat_router_load_refusals_total", {{"route", plan_.route->name}});
   reply_with_error(kUnavailable, "no engine can answer in time", to_seconds(compute_retry_after(known.wait)));
 }
 
-Duration RequestRun::compute_retry_after(Duration wait) {
+Duration ActiveRequest::compute_retry_after(Duration wait) {
   const placement::ServiceSpeed& speed = context_.speeds[plan_.service];
   double per_second = 0;
   for (const BackendPtr& backend : ready_in_subset()) {
@@ -156,8 +157,9 @@
   admission::RefusedRequest request;
   request.tenant = plan_.tenant == nullptr ? "" : plan_.tenant->name;
   request.time_left = deadline_ - context_.loop.now();
-  request.first_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
-  auto& schedule = context_.retry_schedules.try_emplace(plan_.service, context_.longest_return).first->second;
+  request.time_to_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
+  auto& schedule =
+      context_.retry_schedules.try_emplace(plan_.service, context_.max_retry_after).first->second;
   return schedule.book(request, per_second / std::max(1U, context_.router_count), context_.random,
                        context_.loop.now());
 }
--- a/src/dispatch/request_backoff.cc
+++ b/src/dispatch/request_backoff.cc
@@ -1,8 +1,8 @@
-/// RequestRun: back ends that asked for a backoff with Retry-After, or announced their shutdown.
+/// ActiveRequest: back ends that asked for a backoff with Retry-After, or announced their shutdown.
 #include <algorithm>
 
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/rate_limit_header.h"
-#include "src/dispatch/request_run.h"
 #include "src/events/fleet_events.h"
 
 namespace stoat::dispatch {
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void RequestRun::apply_backoff(const http1::Headers& headers) {
+void ActiveRequest::apply_backoff(const http1::Headers& headers) {
   if (kind_ != ResponseKind::kNotRun || head_.status != kUnavailable) {
     return;
   }
@@ -40,7 +40,7 @@
   }
 }
 
-void RequestRun::note_leaving(const http1::Headers& headers) {
+void ActiveRequest::note_leaving(const http1::Headers& headers) {
   const std::string* leaving = headers.find(context_.names.leaving);
   const bool authoritative = head_.status != kMisdirected && kind_ != ResponseKind::kInvalid;
   if (leaving == nullptr || *leaving != "1" || !authoritative ||
@@ -54,7 +54,7 @@
   }
 }
 
-void RequestRun::wait_for_backoff(const std::vector<BackendPtr>& backing_off) {
+void ActiveRequest::wait_for_backoff(const std::vector<BackendPtr>& backing_off) {
   const TimePoint now = context_.loop.now();
   TimePoint first = backing_off.front()->backoff.until();
   for (const BackendPtr& backend : backing_off) {
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -1,12 +1,12 @@
-/// RequestRun: selects the back ends that a request may be sent to from its subset of the service.
+/// ActiveRequest: selects the back ends that a request may be sent to from its subset of the service.
 #include <algorithm>
 
 #include "src/common/hash.h"
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
-std::optional<Duration> RequestRun::outdated_for(const Backend& backend) const {
+std::optional<Duration> ActiveRequest::outdated_for(const Backend& backend) const {
   // The age counts from the announcement of the lowest newer version, however soon later ones followed.
   const auto wanted = context_.wanted.find(plan_.fields.model);
   if (wanted == context_.wanted.end()) {
@@ -15,7 +15,7 @@
   return wanted->second.outdated_for(backend.record.version_of(plan_.fields.model), context_.loop.now());
 }
 
-RequestRun::Candidates RequestRun::find_candidates() const {
+ActiveRequest::Candidates ActiveRequest::find_candidates() const {
   const size_t known = context_.pool.count(plan_.service);
   const auto free = [](const BackendPtr& backend) { return backend->has_free_slot(); };
   // The sample of a version on trial is small, and drawn from all back ends of the service.
@@ -30,21 +30,21 @@
   }
 }
 
-uint64_t RequestRun::subset_key() const {
+uint64_t ActiveRequest::subset_key() const {
   return chain_.links.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
 }
 
-std::vector<BackendPtr> RequestRun::cache_sources_in_subset(size_t candidates) const {
+std::vector<BackendPtr> ActiveRequest::cache_sources_in_subset(size_t candidates) const {
   return context_.pool.subset(plan_.service, subset_key(), std::max(kSubsetSize, candidates),
                               fleet::BackendState::kDraining);
 }
 
-std::vector<BackendPtr> RequestRun::ready_in_subset() const {
+std::vector<BackendPtr> ActiveRequest::ready_in_subset() const {
   return context_.pool.subset(plan_.service, subset_key(), kSubsetSize);
 }
 
-void RequestRun::classify_candidates(const std::vector<BackendPtr>& considered,
-                                     Candidates& candidates) const {
+void ActiveRequest::classify_candidates(const std::vector<BackendPtr>& considered,
+                                        Candidates& candidates) const {
   const fleet::Service* service = plan_.table->service(plan_.service);
   const TimePoint now = context_.loop.now();
   for (const BackendPtr& backend : considered) {
@@ -52,7 +52,7 @@
     if (record.loading || tried_.count(record.id) > 0) {
       continue;
     }
-    if (outdated_for(*backend).value_or(Duration(0)) > context_.old_weights_limit) {
+    if (outdated_for(*backend).value_or(Duration(0)) > context_.old_weights_timeout) {
       continue;
     }
     if (service != nullptr && service->connection_limit > 0 && backend->idle.empty() &&
--- a/src/dispatch/request_distance.cc
+++ b/src/dispatch/request_distance.cc
@@ -1,16 +1,16 @@
-/// RequestRun: network distances of a request and its KV cache, and execution times of requests without a
+/// ActiveRequest: network distances of a request and its KV cache, and execution times of requests without a
 /// prompt.
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
-topology::Place RequestRun::place_of_store(const std::string& address) const {
+topology::Location ActiveRequest::place_of_store(const std::string& address) const {
   const fleet::Service* store = plan_.table->store_at(address);
-  return context_.topology.place_of(store == nullptr ? address : store->store_zone);
+  return context_.topology.location_of(store == nullptr ? address : store->store_zone);
 }
 
-void RequestRun::note_distances(const Backend& target, const CachePlan& cache,
-                                events::RequestSent& sent) const {
+void ActiveRequest::note_distances(const Backend& target, const CachePlan& cache,
+                                   events::RequestSent& sent) const {
   sent.distance = topology::to_text(topology::distance(context_.place, target.place));
   context_.metrics.count("stoat_router_sends_total", {{"distance", sent.distance}});
   if (cache.source.empty()) {
@@ -20,7 +20,7 @@
   context_.metrics.count("stoat_router_cache_sources_total", {{"distance", sent.source_distance}});
 }
 
-void RequestRun::observe_call_time() {
+void ActiveRequest::observe_call_time() {
   if (!call_sent_at_) {
     return;
   }
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -1,10 +1,10 @@
-/// RequestRun: ends a request, and records its outcome.
+/// ActiveRequest: ends a request, and records its outcome.
 #include <event2/event.h>
 
 #include <cmath>
 #include <cstdio>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -23,13 +23,13 @@
   return text;
 }
 
-void RequestRun::fail_request(const char* reason) {
+void ActiveRequest::fail_request(const char* reason) {
   if (finished_) {
     return;
   }
   const bool in_flight = backend_ != nullptr;
   if (in_flight) {
-    record_rollout_end(rollout::SendEnd::kTimedOut);
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
     finish_exchange(false);
   }
   if (streaming_) {
@@ -48,7 +48,7 @@
   }
 }
 
-void RequestRun::reply_with_error(int status, const char* reason, double retry_after_s) {
+void ActiveRequest::reply_with_error(int status, const char* reason, double retry_after_s) {
   edge::AnswerHead head;
   head.status = status;
   head.headers.add(context_.names.request_id, plan_.fields.id);
@@ -60,24 +60,24 @@
   finish_request(reason, status);
 }
 
-void RequestRun::abort_stream(const char* reason) {
+void ActiveRequest::abort_stream(const char* reason) {
   if (backend_ != nullptr) {
-    record_rollout_end(rollout::SendEnd::kTimedOut);
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
     finish_exchange(false);
   }
   answer_->abort();
   finish_request(reason, 0);
 }
 
-void RequestRun::cancel(const char* reason) {
+void ActiveRequest::cancel(const char* reason) {
   if (backend_ != nullptr) {
-    record_rollout_end(rollout::SendEnd::kAbandoned);
+    record_rollout_end(rollout::SendOutcome::kAbandoned);
     finish_exchange(false);
   }
   finish_request(reason, 0);
 }
 
-bool RequestRun::missed_objective(TimePoint now) const {
+bool ActiveRequest::missed_objective(TimePoint now) const {
   const fleet::Route& route = *plan_.route;
   const TimePoint answered = first_event_at_ > TimePoint(0) ? first_event_at_ : now;
   const bool paused = route.gap_target_ms > 0 && longest_pause_ > Duration(1000 * route.gap_target_ms);
@@ -85,7 +85,7 @@
          (route.target_latency_ms > 0 && answered - plan_.arrived > Duration(1000 * route.target_latency_ms));
 }
 
-void RequestRun::observe(bool success, TimePoint now) const {
+void ActiveRequest::observe(bool success, TimePoint now) const {
   constexpr double kMicrosecondsPerSecond = 1e6;
   const Metrics::Labels labels = {{"route", plan_.route->name}};
   const auto seconds = [&](TimePoint at) {
@@ -99,19 +99,19 @@
   }
 }
 
-void RequestRun::charge_retry() {
+void ActiveRequest::charge_retry() {
   if (executed_ == Executed::kMaybe && plan_.quota_cost > 0) {
     context_.quotas.charge(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
   }
 }
 
-void RequestRun::refund_quota() {
+void ActiveRequest::refund_quota() {
   if (executed_ == Executed::kNo && !outcome_unknown_ && plan_.quota_cost > 0) {
     context_.quotas.give_back(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
   }
 }
 
-void RequestRun::finish_request(const char* outcome, int status) {
+void ActiveRequest::finish_request(const char* outcome, int status) {
   if (finished_) {
     return;
   }
--- a/src/dispatch/request_fields.h
+++ b/src/dispatch/request_fields.h
@@ -27,8 +27,8 @@
   std::vector<PromptPart> parts;
   uint32_t prompt_tokens = 0;
   uint32_t output_tokens = 0;            ///< at most
-  bool names_tokens = false;             ///< both token counts were given
-  bool malformed_tokens = false;         ///< token counts were given, but not as two valid integers
+  bool has_token_counts = false;         ///< both token counts were given
+  bool malformed_token_counts = false;   ///< token counts were given, but not as two valid integers
   std::optional<int64_t> last_event_id;  ///< last event of the stream that the caller already has
 };
 
--- a/src/dispatch/request_run_forecast.cc
+++ b/src/dispatch/request_forecast.cc
@@ -1,7 +1,7 @@
-/// RequestRun: forecasts the first event of an attempt, and updates the latency model with its outcome.
+/// ActiveRequest: forecasts the first event of an attempt, and updates the latency model with its outcome.
 #include <cmath>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -11,18 +11,18 @@
 
 }  // namespace
 
-placement::EngineQueue RequestRun::queue_of(const Backend& backend, double usual_others) const {
+placement::EngineQueue ActiveRequest::queue_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineQueue queue;
   queue.slots = backend.record.slots;
   queue.own_outstanding = backend.outstanding;
   queue.others_outstanding = backend.others_outstanding;
-  queue.usual_others = usual_others;
+  queue.mean_others_outstanding = mean_others_outstanding;
   queue.waiting_tokens = backend.prefill_tokens + backend.others_prefill_tokens;
   queue.age = context_.pool.total_load_age(context_.loop.now());
   return queue;
 }
 
-double RequestRun::usual_others() const {
+double ActiveRequest::mean_others_outstanding() const {
   const std::vector<BackendPtr> serving = ready_in_subset();
   double sum = 0;
   for (const BackendPtr& backend : serving) {
@@ -31,8 +31,8 @@
   return serving.empty() ? 0 : sum / static_cast<double>(serving.size());
 }
 
-void RequestRun::expect_first_event(double usual_others) {
-  placement::EngineQueue queue = queue_of(*backend_, usual_others);
+void ActiveRequest::expect_first_event(double mean_others_outstanding) {
+  placement::EngineQueue queue = queue_of(*backend_, mean_others_outstanding);
   // Both already include this request.
   queue.own_outstanding -= queue.own_outstanding > 0 ? 1 : 0;
   queue.waiting_tokens -= std::min<uint64_t>(queue.waiting_tokens, pending_prefill_tokens_);
@@ -46,7 +46,7 @@
   expected_ = expected;
 }
 
-void RequestRun::observe_first_event_latency() {
+void ActiveRequest::observe_first_event_latency() {
   if (!expected_) {
     return;
   }
@@ -65,7 +65,7 @@
   service.observe_first_event(sample);
 }
 
-void RequestRun::observe_run_time() const {
+void ActiveRequest::observe_run_time() const {
   if (expected_ && expected_->slot_free) {
     context_.speeds[plan_.service].observe_run(to_fractional_ms(context_.loop.now() - sent_at_));
   }
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -1,8 +1,8 @@
-/// RequestRun: rate limits that back ends state in their responses, for all routers together.
+/// ActiveRequest: rate limits that back ends state in their responses, for all routers together.
 #include <algorithm>
 
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/rate_limit_header.h"
-#include "src/dispatch/request_run.h"
 #include "src/events/fleet_events.h"
 
 namespace stoat::dispatch {
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void RequestRun::request_candidate_permits(const Candidates& found) {
+void ActiveRequest::request_candidate_permits(const Candidates& found) {
   if (found.limited.empty()) {
     return;
   }
@@ -31,10 +31,10 @@
   }
 }
 
-std::optional<TimePoint> RequestRun::earliest_permit_time(const std::vector<std::string>& limited) const {
+std::optional<TimePoint> ActiveRequest::earliest_permit_time(const std::vector<std::string>& limited) const {
   std::optional<TimePoint> first;
   for (size_t position = 0; position < std::min(kMaxPermitRequests, limited.size()); ++position) {
-    const auto chance = context_.limits.next_chance(limited[position], context_.loop.now());
+    const auto chance = context_.limits.earliest_send_time(limited[position], context_.loop.now());
     if (!chance) {
       return std::nullopt;
     }
@@ -43,7 +43,7 @@
   return first;
 }
 
-void RequestRun::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
+void ActiveRequest::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
   const TimePoint now = context_.loop.now();
   const std::optional<TimePoint> chance = earliest_permit_time(limited);
   if (now < wait_deadline_ && chance.value_or(now) <= wait_deadline_) {
@@ -54,7 +54,7 @@
   reply_with_error(kUnavailable, reason, to_seconds(compute_retry_after(chance.value_or(now) - now)));
 }
 
-void RequestRun::spend_permit(const Backend& backend) {
+void ActiveRequest::spend_permit(const Backend& backend) {
   const std::string& id = backend.record.id;
   if (context_.limits.per_second(id) <= 0) {
     return;
@@ -68,7 +68,7 @@
   }
 }
 
-void RequestRun::note_rate_limit(const http1::Headers& headers) {
+void ActiveRequest::note_rate_limit(const http1::Headers& headers) {
   // A response from another incarnation at the same address, or an invalid one, says nothing about this back
   // end.
   if (head_.status == kMisdirected || kind_ == ResponseKind::kInvalid) {
@@ -85,9 +85,9 @@
   }
   std::optional<admission::LimitChange> change;
   if (reading.kind == NumberReading::Kind::kPresent) {
-    change = context_.limits.note_named(backend, reading.value, now);
+    change = context_.limits.record_reported_limit(backend, reading.value, now);
   } else if (reading.kind == NumberReading::Kind::kNone && kind_ != ResponseKind::kNotRun) {
-    change = context_.limits.note_unnamed(backend, sent_at_);
+    change = context_.limits.record_response_without_limit(backend, sent_at_);
   }
   if (change && context_.stories.take_lines(1, "limit changed", now)) {
     context_.stories.log().event(
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -1,11 +1,11 @@
-/// RequestRun: chooses the back end for a request, and builds and sends the request head.
+/// ActiveRequest: chooses the back end for a request, and builds and sends the request head.
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <unordered_set>
 #include <utility>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 #include "src/fleet/incarnation.h"
 
 namespace stoat::dispatch {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-placement::EngineView RequestRun::view_of(const Backend& backend, double usual_others) const {
+placement::EngineView ActiveRequest::view_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineView view;
   view.name_hash = backend.name_hash;
   view.memory = &backend.memory;
@@ -33,20 +33,21 @@
   const placement::ServiceSpeed& service = context_.speeds[plan_.service];
   view.ms_per_token = service.ms_per_token() * backend.speed.slowness();
   view.wait_ms =
-      placement::expect_first_event(service, backend.speed, queue_of(backend, usual_others), 0).wait_ms();
+      placement::expect_first_event(service, backend.speed, queue_of(backend, mean_others_outstanding), 0)
+          .wait_ms();
   view.place = backend.place;
   view.distance = topology::distance(context_.place, backend.place);
-  view.old_weights = outdated_for(backend).value_or(Duration(0)) > kOldWeightsGracePeriod;
+  view.has_outdated_weights = outdated_for(backend).value_or(Duration(0)) > kOldWeightsGracePeriod;
   // An unreachable source would delay the request.
   view.sound = context_.pool.is_sound(backend);
   return view;
 }
 
-void RequestRun::dispatch(const std::vector<BackendPtr>& candidates) {
+void ActiveRequest::dispatch(const std::vector<BackendPtr>& candidates) {
   std::vector<placement::EngineView> views;
   std::vector<BackendPtr> engines = candidates;
   views.reserve(candidates.size());
-  const double others = usual_others();
+  const double others = mean_others_outstanding();
   for (const BackendPtr& backend : candidates) {
     views.push_back(view_of(*backend, others));
   }
@@ -72,17 +73,17 @@
   }
   if (const fleet::Service* service = plan_.table->service(plan_.service)) {
     const fleet::Service* stored = store == nullptr ? nullptr : plan_.table->store_at(store->address);
-    costs.moves = placement::move_costs(service->engine, stored);
+    costs.moves = placement::make_transfer_costs(service->engine, stored);
   }
   const placement::Placement placed =
       placement::place(chain_, views, store == nullptr ? nullptr : &store_view, costs, context_.loop.now());
   const BackendPtr holder = placed.source ? engines[*placed.source] : nullptr;
-  CachePlan cache = plan_cache(*engines[placed.target], holder.get(), store, placed.store_pays);
+  CachePlan cache = plan_cache(*engines[placed.target], holder.get(), store, placed.worth_taking_from_store);
   cache.candidates = static_cast<uint32_t>(candidates.size());
   send_to(engines[placed.target], std::move(cache), others);
 }
 
-bool RequestRun::is_router_header(const std::string& name) const {
+bool ActiveRequest::is_router_header(const std::string& name) const {
   const HeaderNames& names = context_.names;
   const std::array<const std::string*, 12> own = {
       &names.credential, &names.tenant,  &names.deadline_ms, &names.expected_backend,
@@ -93,8 +94,8 @@
          http1::same_name(names.expected_weights, name) || http1::same_name(names.last_event_id, name);
 }
 
-const BackendPtr& RequestRun::choose_without_prompt(const std::vector<BackendPtr>& candidates,
-                                                    const std::vector<placement::EngineView>& views) {
+const BackendPtr& ActiveRequest::choose_without_prompt(const std::vector<BackendPtr>& candidates,
+                                                       const std::vector<placement::EngineView>& views) {
   const size_t chosen = placement::choose_nearest(views, context_.call_times[plan_.service].ms(),
                                                   context_.costs.ways, context_.random.bits());
   if (views[chosen].outstanding < views[chosen].slots) {
@@ -103,8 +104,8 @@
   return candidates[chosen];
 }
 
-CachePlan RequestRun::plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
-                                 bool store_pays) const {
+CachePlan ActiveRequest::plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
+                                    bool worth_taking_from_store) const {
   CachePlan plan;
   const TimePoint now = context_.loop.now();
   const uint64_t weights = target.record.version_of(plan_.fields.model);
@@ -114,8 +115,8 @@
   // The store is the source even if it is not known to hold the prompt: an engine loads only what it lacks,
   // and a miss costs a millisecond. If loading from the store takes longer than prefilling, nothing is
   // written to it either.
-  const bool store_useful = store_pays && shared >= kMinStoredTokens;
-  const bool surely_held = holder != nullptr && holder->memory.surely_holds(chain_, weights, now);
+  const bool store_useful = worth_taking_from_store && shared >= kMinStoredTokens;
+  const bool surely_held = holder != nullptr && holder->memory.certainly_holds(chain_, weights, now);
   if (store_useful && (holder == nullptr || (stored && !surely_held))) {
     plan.source = store_address;
     plan.source_place = place_of_store(store_address);
@@ -129,7 +130,7 @@
   return plan;
 }
 
-std::string RequestRun::request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const {
+std::string ActiveRequest::request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const {
   const HeaderNames& names = context_.names;
   std::string head = plan_.request.method + " " + plan_.request.target + " HTTP/1.1\r\n";
   const auto add = [&head](const std::string& name, const std::string& value) {
@@ -178,12 +179,12 @@
   return head + "\r\n";
 }
 
-bool RequestRun::may_hold_backup(const Backend& backend) const {
+bool ActiveRequest::may_hold_backup(const Backend& backend) const {
   return backend.record.state == fleet::BackendState::kReady && context_.pool.is_sound(backend) &&
          backend.backoff.may_send(backend.outstanding, context_.loop.now());
 }
 
-BackendPtr RequestRun::choose_backup(const Backend& target) const {
+BackendPtr ActiveRequest::choose_backup(const Backend& target) const {
   const fleet::Service* service = plan_.table->service(plan_.service);
   const bool wanted = plan_.route->kind == fleet::RouteKind::kStreaming && !plan_.route->resumable;
   if (!wanted || service == nullptr || !service->engine.backups) {
@@ -210,7 +211,7 @@
   return best;
 }
 
-const char* RequestRun::backup_unusable_reason(const Backend& origin) const {
+const char* ActiveRequest::backup_unusable_reason(const Backend& origin) const {
   const std::string& model = plan_.fields.model;
   // Without an event id to resume after, the engine would treat the request as a new run.
   if (!streaming_ || !last_event_id_) {
@@ -239,13 +240,13 @@
   return nullptr;
 }
 
-bool RequestRun::resume_from_backup(const Backend& origin) {
+bool ActiveRequest::resume_from_backup(const Backend& origin) {
   if (plan_.route->kind != fleet::RouteKind::kStreaming || plan_.route->resumable) {
     return false;  // no backups are made
   }
   const char* reason = backup_unusable_reason(origin);
   if (reason == nullptr &&
-      !context_.budget_of(plan_.service).take(context_.loop.now(), context_.sharing_routers.count())) {
+      !context_.budget_of(plan_.service).take(context_.loop.now(), context_.router_count_estimate.count())) {
     reason = "no budget for repeats";
   }
   if (reason != nullptr) {
@@ -255,11 +256,11 @@
   context_.metrics.count("stoat_router_copies_used_total");
   CachePlan cache;
   cache.resume_from = origin.record.address + "/" + plan_.fields.id;
-  send_to(std::exchange(backup_, nullptr), cache, usual_others());
+  send_to(std::exchange(backup_, nullptr), cache, mean_others_outstanding());
   return true;
 }
 
-void RequestRun::send_to(const BackendPtr& backend, CachePlan cache, double usual_others) {
+void ActiveRequest::send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding) {
   const TimePoint now = context_.loop.now();
   const auto connection = context_.pool.take_connection(backend);
   tried_.insert(backend->record.id);
@@ -298,7 +299,7 @@
     add_pending_prefill(cache);
   }
   sent_at_ = now;
-  expect_first_event(usual_others);
+  expect_first_event(mean_others_outstanding);
   record_rollout_send();
   sent.missing_tokens = pending_prefill_tokens_;
   sent.expected_ms = std::llround(expected_->forecast.total_ms());
@@ -319,7 +320,7 @@
   arm_timer(deadline_);
 }
 
-void RequestRun::add_pending_prefill(const CachePlan& cache) {
+void ActiveRequest::add_pending_prefill(const CachePlan& cache) {
   const TimePoint now = context_.loop.now();
   const uint32_t own = backend_->memory.cached_tokens(chain_, run_weights_, now);
   uint32_t present = own;
@@ -334,7 +335,7 @@
   backend_->memory.note_pending(chain_, run_weights_, now);
 }
 
-void RequestRun::note_prompt_cached() {
+void ActiveRequest::note_prompt_cached() {
   const TimePoint now = context_.loop.now();
   fleet::ChainPlacement placement;
   placement.holder = backend_->record.id;
@@ -345,15 +346,15 @@
   if (placement.links.empty()) {
     return;
   }
-  const bool known = backend_->memory.seen_since(chain_, run_weights_, now, kReannounceInterval);
+  const bool known = backend_->memory.observed_within(chain_, run_weights_, now, kReannounceInterval);
   backend_->memory.note_held(placement.links, run_weights_, now);
   if (!known) {
-    context_.tell_placement(placement);
+    context_.announce_placement(placement);
   }
   if (CacheStore* store = context_.stores.find(store_target_)) {
     store->memory.note_held(placement.links, run_weights_, now);
     placement.holder = store->address;
-    context_.tell_placement(placement);
+    context_.announce_placement(placement);
   }
 }
 
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -1,9 +1,9 @@
-/// RequestRun: versions. For a service with a rollout of another software version in progress: which of its
-/// back ends a request may go to, and the statistics of its responses. Also the weights version that produced
-/// a response.
+/// ActiveRequest: versions. For a service with a rollout of another software version in progress: which of
+/// its back ends a request may go to, and the statistics of its responses. Also the weights version that
+/// produced a response.
 #include <algorithm>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
@@ -17,7 +17,7 @@
       ids.push_back(backend->record.id);
     }
   }
-  const std::vector<std::string> sample = rollout::sample_of(std::move(ids), rollout);
+  const std::vector<std::string> sample = rollout::sampled_backends(std::move(ids), rollout);
   if (sample.empty()) {
     return;
   }
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::vector<BackendPtr> RequestRun::filter_by_version(std::vector<BackendPtr> found) const {
+std::vector<BackendPtr> ActiveRequest::filter_by_version(std::vector<BackendPtr> found) const {
   const rollout::VersionLimits limits = context_.versions.limits(plan_.service, in_trial_sample_);
   if (limits.rollout == nullptr) {
     return found;
@@ -50,7 +50,7 @@
   return found;
 }
 
-void RequestRun::sample_for_trial() {
+void ActiveRequest::sample_for_trial() {
   if (context_.versions.find(plan_.service) == nullptr) {
     return;
   }
@@ -61,25 +61,25 @@
   in_trial_sample_ = in_trial_sample_ && has_room();
 }
 
-bool RequestRun::may_resume_at(const Backend& backup_engine, const Backend& origin) const {
+bool ActiveRequest::may_resume_at(const Backend& backup_engine, const Backend& origin) const {
   const rollout::VersionLimits limits = context_.versions.limits(plan_.service, in_trial_sample_);
   return limits.rollout == nullptr ||
          (backup_engine.record.software == origin.record.software &&
           limits.rank(backup_engine.record.software) != rollout::VersionLimits::kNever);
 }
 
-void RequestRun::record_rollout_send() {
+void ActiveRequest::record_rollout_send() {
   const fleet::ServiceRollout* rollout = context_.versions.find(plan_.service);
   if (rollout == nullptr || rollout->final()) {
     return;
   }
   const fleet::BackendRecord& record = backend_->record;
-  rollout::CountedSend send;
+  rollout::CountedRequest send;
   send.key.rollout = rollout->id;
   send.key.target = record.software == rollout->target_version;
   send.key.engine = send.key.target ? record.id : "";
   send.key.route = plan_.route->name;
-  send.key.condition = rollout::condition_of(
+  send.key.condition = rollout::classify_condition(
       pending_prefill_tokens_, backend_->outstanding + backend_->others_outstanding, record.slots);
   send.objective = Duration(1000 * plan_.route->target_latency_ms);
   context_.answers.begin(send, context_.loop.now());
@@ -89,35 +89,35 @@
   }
 }
 
-void RequestRun::record_rollout_first_event() {
+void ActiveRequest::record_rollout_first_event() {
   if (rollout_send_) {
     context_.answers.first_event(*rollout_send_, context_.loop.now());
   }
 }
 
-void RequestRun::record_rollout_failure(ExchangeFailure failure) {
+void ActiveRequest::record_rollout_failure(ExchangeFailure failure) {
   switch (failure) {
     case ExchangeFailure::kNotConnected:
-      record_rollout_end(rollout::SendEnd::kNotRun);
+      record_rollout_end(rollout::SendOutcome::kNotRun);
       break;
     case ExchangeFailure::kMalformed:
-      record_rollout_end(rollout::SendEnd::kFailed);
+      record_rollout_end(rollout::SendOutcome::kFailed);
       break;
     case ExchangeFailure::kBroken:
     case ExchangeFailure::kSilent:
-      record_rollout_end(rollout::SendEnd::kBroken);
+      record_rollout_end(rollout::SendOutcome::kBroken);
       break;
   }
 }
 
-void RequestRun::record_rollout_end(rollout::SendEnd end) {
+void ActiveRequest::record_rollout_end(rollout::SendOutcome end) {
   if (rollout_send_) {
     context_.answers.end(*rollout_send_, end, context_.loop.now());
     rollout_send_.reset();
   }
 }
 
-void RequestRun::note_weights(const http1::Headers& headers) {
+void ActiveRequest::note_weights(const http1::Headers& headers) {
   const std::string* text = headers.find(context_.names.weights_version);
   const auto version = text == nullptr ? std::nullopt : parse_integer(*text);
   const uint64_t known = backend_->record.version_of(plan_.fields.model);
--- a/src/events/rollout_events.h
+++ b/src/events/rollout_events.h
@@ -20,7 +20,7 @@
       return "trial";
     case fleet::RolloutPhase::kSwitching:
       return "switching";
-    case fleet::RolloutPhase::kReturning:
+    case fleet::RolloutPhase::kRollingBack:
       return "returning";
     case fleet::RolloutPhase::kCompleted:
       return "completed";
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -52,7 +52,7 @@
   // What comes in until then is still served; the longest streams take most of the rest.
   settings.stop_listen = settings.stop_grace * 3 / 10;
   // Requests wait at the engine before they begin.
-  settings.old_weights_limit =
+  settings.old_weights_timeout =
       Duration(1000 * reader.integer("weights_limit_ms", 8000, 0, 3600000)) - kQueueMargin;
   settings.start_wait = Duration(1000 * reader.integer("start_wait_ms", 2500, 0, 60000));
   settings.stories.lines_per_second = reader.number("log_lines_per_second", 200, 0, 1e6);
@@ -85,29 +85,33 @@
       link_(
           loop, settings.link, [this] { return make_status(); },
           [this](const fleet::FleetUpdate& update) { on_update(update); },
-          [this](const fleet::FleetNews& news) { on_news(news); }),
+          [this](const fleet::FleetFeedUpdate& news) { on_news(news); }),
       edge_(loop, settings.listen, *this, settings.hold) {
   context_.random = Random(seed_from_device());
-  context_.quotas = admission::QuotaGate(settings.quotas, seed_from_device());
-  context_.crashes = admission::CrashBook(settings.quarantine);
-  context_.note_standing = [this](uint64_t request, const char* source) { log_standing(request, source); };
-  context_.starts_until = loop.now() + settings.start_wait;
+  context_.quotas = admission::QuotaEnforcer(settings.quotas, seed_from_device());
+  context_.crashes = admission::CrashHistory(settings.quarantine);
+  context_.log_standing_change = [this](uint64_t request, const char* source) {
+    log_standing(request, source);
+  };
+  context_.startup_ends_at = loop.now() + settings.start_wait;
   context_.ask_for_permits = [this] { ask_for_permits(); };
   link_.set_permit_handler(
-      [this](const fleet::PermitAnswer& answer) { context_.limits.on_answer(answer, loop_.now()); });
+      [this](const fleet::PermitResponse& answer) { context_.limits.on_answer(answer, loop_.now()); });
   context_.topology = settings.topology;
-  context_.place = settings.topology.place_of(settings.zone);
+  context_.place = settings.topology.location_of(settings.zone);
   context_.budget_options = settings.budget;
-  context_.sharing_routers = delivery::SharingRouters(settings.routers_settle);
-  context_.old_weights_limit = settings.old_weights_limit;
-  context_.load_limits.useful_queue = settings.useful_engine_queue;
-  context_.longest_return = settings.longest_retry_after;
+  context_.router_count_estimate = delivery::RouterCountEstimate(settings.routers_settle);
+  context_.old_weights_timeout = settings.old_weights_timeout;
+  context_.admission_thresholds.max_useful_engine_queue = settings.useful_engine_queue;
+  context_.max_retry_after = settings.longest_retry_after;
   pool_.set_probe_handler([this](const dispatch::BackendPtr& backend, dispatch::ProbeResult result) {
     on_probe_ended(backend, result);
   });
   context_.note_crash = [this](dispatch::Backend& backend, const char* sign) { note_crash(backend, sign); };
-  context_.tell_unreachable = [this](const std::string& backend) { untold_unreachable_.insert(backend); };
-  context_.tell_placement = [this](fleet::ChainPlacement placement) { tell_placement(std::move(placement)); };
+  context_.report_unreachable = [this](const std::string& backend) { untold_unreachable_.insert(backend); };
+  context_.announce_placement = [this](fleet::ChainPlacement placement) {
+    announce_placement(std::move(placement));
+  };
   loop_.every(kLoadsInterval, [this] {
     check_silence();
     tell_loads();
@@ -142,11 +146,11 @@
 }
 
 void GatewayServer::log_limit_use() {
-  std::vector<admission::LimitUse> uses = context_.limits.take_use();
+  std::vector<admission::LimitUsage> uses = context_.limits.take_usage();
   if (uses.size() > kMostLimitLines) {
     uses.resize(kMostLimitLines);
   }
-  for (const admission::LimitUse& use : uses) {
+  for (const admission::LimitUsage& use : uses) {
     log_.event(events::LimitedBackendUsed{use.backend, use.per_second, use.sent,
                                           to_milliseconds(kLimitUseInterval)});
   }
@@ -182,7 +186,7 @@
     take_configuration(configuration);
   }
   pool_.retire(update.retired);
-  for (const fleet::NamedVersion& named : update.weights) {
+  for (const fleet::TargetWeightsVersion& named : update.weights) {
     fleet::VersionHistory& wanted = context_.wanted[named.model];
     if (named.version > wanted.newest()) {
       log_.event(events::WeightsNamed{named.model, named.version, named.age_ms});
@@ -191,10 +195,10 @@
   }
   if (update.router_count > 0) {
     context_.router_count = update.router_count;
-    context_.sharing_routers.note(update.router_count, loop_.now());
+    context_.router_count_estimate.note(update.router_count, loop_.now());
     context_.quotas.set_router_count(update.router_count);
   }
-  context_.quotas.confirm(update.spending_taken);
+  context_.quotas.confirm(update.acknowledged_spending_sequence);
   take_rollouts(update);
 }
 
@@ -216,7 +220,7 @@
                                           configuration.tenants.size()});
 }
 
-void GatewayServer::refuse(const dispatch::RunPlan& plan, edge::CallerAnswer& answer, int status,
+void GatewayServer::refuse(const dispatch::RoutedRequest& plan, edge::CallerAnswer& answer, int status,
                            const char* reason, double retry_after_s) {
   edge::AnswerHead head;
   head.status = status;
@@ -235,7 +239,7 @@
   answer.reply(head, std::string(reason) + "\n");
 }
 
-bool GatewayServer::admit(dispatch::RunPlan& plan, edge::CallerAnswer& answer) {
+bool GatewayServer::admit(dispatch::RoutedRequest& plan, edge::CallerAnswer& answer) {
   if (table_ == nullptr) {
     refuse(plan, answer, kUnavailable, "no configuration yet", kStartRetryAfterS);
     return false;
@@ -247,7 +251,7 @@
     refuse(plan, answer, kNotFound, "no route");
     return false;
   }
-  if (plan.fields.malformed_tokens) {
+  if (plan.fields.malformed_token_counts) {
     refuse(plan, answer, kBadRequest, malformed_tokens_.c_str());
     return false;
   }
@@ -257,7 +261,7 @@
   return admit_key(plan, answer) && admit_quota(plan, answer);
 }
 
-bool GatewayServer::admit_key(dispatch::RunPlan& plan, edge::CallerAnswer& answer) {
+bool GatewayServer::admit_key(dispatch::RoutedRequest& plan, edge::CallerAnswer& answer) {
   plan.tenant = table_->tenant_of_key(plan.fields.key);
   if (settings_.fail_closed && !link_.keys_confirmed()) {
     refuse(plan, answer, kUnavailable, "keys can't be confirmed", kStartRetryAfterS);
@@ -270,13 +274,13 @@
   return true;
 }
 
-bool GatewayServer::admit_quota(dispatch::RunPlan& plan, edge::CallerAnswer& answer) {
+bool GatewayServer::admit_quota(dispatch::RoutedRequest& plan, edge::CallerAnswer& answer) {
   const fleet::TenantQuota& quota = plan.tenant->quota;
   if (!quota.limited()) {
     return true;
   }
   const dispatch::RequestFields& fields = plan.fields;
-  const auto tokens = fields.names_tokens
+  const auto tokens = fields.has_token_counts
                           ? std::optional<uint64_t>(uint64_t{fields.prompt_tokens} + fields.output_tokens)
                           : std::nullopt;
   plan.quota_cost = quota.cost_of(tokens);
@@ -331,7 +335,7 @@
 
 void GatewayServer::serve(edge::CallerRequest request, const std::shared_ptr<edge::CallerAnswer>& answer,
                           TimePoint arrived) {
-  dispatch::RunPlan plan;
+  dispatch::RoutedRequest plan;
   plan.arrived = arrived;
   plan.fields = dispatch::read_fields(request.headers, names_);
   plan.request = std::move(request);
@@ -339,15 +343,15 @@
     return;
   }
   plan.service = splits_.choose(*plan.route);
-  const auto run = std::make_shared<dispatch::RequestRun>(
+  const auto run = std::make_shared<dispatch::ActiveRequest>(
       context_, std::move(plan), answer,
-      [this](dispatch::RequestRun* ended) { runs_.erase(ended->answer()); });
+      [this](dispatch::ActiveRequest* ended) { runs_.erase(ended->answer()); });
   runs_[answer.get()] = run;
   run->start();
 }
 
 void GatewayServer::check_silence() {
-  std::vector<std::shared_ptr<dispatch::RequestRun>> running;  // runs that end leave the map
+  std::vector<std::shared_ptr<dispatch::ActiveRequest>> running;  // runs that end leave the map
   running.reserve(runs_.size());
   for (const auto& [answer, run] : runs_) {
     running.push_back(run);
--- a/src/placement/first_event_model.cc
+++ b/src/placement/first_event_model.cc
@@ -39,8 +39,8 @@
   const uint64_t tokens = sample.waiting_tokens + sample.own_tokens;
   const double observed_ms = limit_outlier(sample.observed_ms, idle_ms(tokens));
   if (tokens < kShortPromptTokens) {
-    const double reading_ms = static_cast<double>(tokens) * ms_per_token();
-    base_ms_.add(std::max(0.0, observed_ms - reading_ms), kServiceDecay);
+    const double prefill_ms = static_cast<double>(tokens) * ms_per_token();
+    base_ms_.add(std::max(0.0, observed_ms - prefill_ms), kServiceDecay);
     return;
   }
   // Sums are kept instead of a mean of ratios, because a long prompt shows the speed better than many of
@@ -53,13 +53,14 @@
   run_ms_.add(std::min(slot_ms, kMaxRunRatio * run_ms()), kServiceDecay);
 }
 
-void ServiceSpeed::note_answer(double expected_ms) {
+void ServiceSpeed::record_expected_answer(double expected_ms) {
   long_answer_ms_ = std::max(expected_ms, kServiceDecay * long_answer_ms_);
 }
 
-double present_outstanding(const EngineQueue& queue, double run_ms) {
+double estimate_outstanding(const EngineQueue& queue, double run_ms) {
   const double still_valid = std::exp(-to_seconds(queue.age) * 1000 / std::max(1.0, run_ms));
-  const double others = queue.others_outstanding * still_valid + queue.usual_others * (1 - still_valid);
+  const double others =
+      queue.others_outstanding * still_valid + queue.mean_others_outstanding * (1 - still_valid);
   return queue.own_outstanding + others;
 }
 
@@ -70,11 +71,11 @@
   const double slots = std::max(1U, queue.slots);
   // A full engine frees a slot every run_ms / slots; with k requests waiting, the next one needs k + 1 of
   // them.
-  const double slots_needed = present_outstanding(queue, service.run_ms()) - slots + 1;
+  const double slots_needed = estimate_outstanding(queue, service.run_ms()) - slots + 1;
   forecast.slot_wait_ms = std::max(0.0, slots_needed) * service.run_ms() * slowness / slots;
   const double ms_per_token = service.ms_per_token() * slowness;
   forecast.prefill_wait_ms = static_cast<double>(queue.waiting_tokens) * ms_per_token;
-  forecast.reading_ms = static_cast<double>(missing_tokens) * ms_per_token;
+  forecast.prefill_ms = static_cast<double>(missing_tokens) * ms_per_token;
   forecast.base_ms = service.base_ms() * slowness;
   return forecast;
 }
--- a/src/placement/first_event_model.h
+++ b/src/placement/first_event_model.h
@@ -17,23 +17,23 @@
 /// The load of one engine, as known to a router.
 struct EngineQueue {
   uint32_t slots = 1;
-  uint32_t own_outstanding = 0;     ///< requests of this router in flight there
-  uint32_t others_outstanding = 0;  ///< requests of the other routers, as last reported
-  double usual_others = 0;          ///< mean of others_outstanding over the engines of the service
-  uint64_t waiting_tokens = 0;      ///< prompt tokens of requests there without a first event
-  Duration age{0};                  ///< age of the other routers' reports
+  uint32_t own_outstanding = 0;        ///< requests of this router in flight there
+  uint32_t others_outstanding = 0;     ///< requests of the other routers, as last reported
+  double mean_others_outstanding = 0;  ///< mean of others_outstanding over the engines of the service
+  uint64_t waiting_tokens = 0;         ///< prompt tokens of requests there without a first event
+  Duration age{0};                     ///< age of the other routers' reports
 };
 
 /// The expected time to the first event and its components, in milliseconds.
 struct FirstEventForecast {
   double slot_wait_ms = 0;     ///< until a slot is free
   double prefill_wait_ms = 0;  ///< until the prompt tokens waiting there are processed
-  double reading_ms = 0;       ///< to process the missing tokens of the request's prompt
+  double prefill_ms = 0;       ///< to process the missing tokens of the request's prompt
   double base_ms = 0;          ///< minimum even for a short prompt at an idle engine
   /// Time until the prompt is processed. The longer wait counts, since an engine processes waiting prompts
   /// while slots become free.
   double wait_ms() const { return std::max(slot_wait_ms, prefill_wait_ms); }
-  double total_ms() const { return wait_ms() + reading_ms + base_ms; }
+  double total_ms() const { return wait_ms() + prefill_ms + base_ms; }
 };
 
 /// A request that reached its first event at an engine that had a free slot and to which no KV cache was
@@ -90,7 +90,7 @@
   void observe_run(double slot_ms);
 
   /// Records the expected time from a request getting a slot to its first event.
-  void note_answer(double expected_ms);
+  void record_expected_answer(double expected_ms);
 
   double ms_per_token() const { return prefill_ms_ / prefilled_tokens_; }
   double base_ms() const { return base_ms_.value(); }
@@ -120,7 +120,7 @@
 
 /// Estimates the number of requests at an engine now. The requests known from a report complete over time as
 /// runs do, and are replaced by the mean number at the service's engines.
-double present_outstanding(const EngineQueue& queue, double run_ms);
+double estimate_outstanding(const EngineQueue& queue, double run_ms);
 
 /// Returns the forecast for a request with `missing_tokens` tokens that the engine has not cached.
 FirstEventForecast expect_first_event(const ServiceSpeed& service, const EngineSpeed& engine,
--- a/src/placement/chain_memory.h
+++ b/src/placement/kv_cache_estimate.h
@@ -46,14 +46,14 @@
 
 /// The time until which the cache events of one feed are valid. Shared by all caches of the feed, so that one
 /// message renews the validity for all of them.
-struct EventTrust {
+struct EventValidity {
   TimePoint until{0};
 };
 
 /// See the top of this file. Each part counts only for the version of the weights that computed it.
-class ChainMemory {
+class KvCacheEstimate {
  public:
-  explicit ChainMemory(Duration hold_time = kHoldTime) : hold_time_(hold_time) {}
+  explicit KvCacheEstimate(Duration hold_time = kHoldTime) : hold_time_(hold_time) {}
 
   /// Records that a prompt was sent to the engine, which will compute its cache entries.
   void note_pending(const PromptChain& chain, uint64_t weights, TimePoint now);
@@ -67,7 +67,7 @@
   /// Handles an event: the cache no longer holds anything of a part.
   void drop_holding(uint64_t part);
   /// Sets the validity of events, which must outlive this object; nullptr if no events arrive.
-  void follow(const EventTrust* trust) { trust_ = trust; }
+  void follow(const EventValidity* trust) { trust_ = trust; }
   bool followed(TimePoint now) const { return trust_ != nullptr && now < trust_->until; }
   /// Drops everything learned from events.
   void forget_holdings();
@@ -78,9 +78,9 @@
   /// Returns the number of leading tokens of the chain that the cache already holds.
   uint32_t held_tokens(const PromptChain& chain, uint64_t weights, TimePoint now) const;
   /// Returns whether all shared parts of the chain were observed within the last `age`. Ignores events.
-  bool seen_since(const PromptChain& chain, uint64_t weights, TimePoint now, Duration age) const;
+  bool observed_within(const PromptChain& chain, uint64_t weights, TimePoint now, Duration age) const;
   /// Returns whether the cache almost certainly holds all shared parts of the chain.
-  bool surely_holds(const PromptChain& chain, uint64_t weights, TimePoint now) const;
+  bool certainly_holds(const PromptChain& chain, uint64_t weights, TimePoint now) const;
 
  private:
   struct Entry {
@@ -98,7 +98,7 @@
   void evict_old(TimePoint now);
 
   Duration hold_time_;
-  const EventTrust* trust_ = nullptr;            ///< nullptr if the control plane does not follow the cache
+  const EventValidity* trust_ = nullptr;         ///< nullptr if the control plane does not follow the cache
   std::unordered_map<uint64_t, Entry> entries_;  ///< by part hash
 };
 
--- a/src/placement/plain_placement.h
+++ b/src/placement/nearest_placement.h
@@ -5,12 +5,12 @@
 #include <cstdint>
 #include <vector>
 
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 
 namespace stoat::placement {
 
 /// The mean duration of a service's calls at an engine with a free slot, learned from responses.
-class WorkTime {
+class CallDuration {
  public:
   void observe(double taken_ms);
   double ms() const { return ms_; }
--- a/src/placement/part_placement.cc
+++ b/src/placement/prompt_placement.cc
@@ -1,4 +1,4 @@
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 
 #include <algorithm>
 #include <map>
@@ -163,7 +163,7 @@
   option.placement.target = position;
   option.placement.source = kv_transfer.source;
   option.placement.from_store = kv_transfer.from_store;
-  option.placement.store_pays =
+  option.placement.worth_taking_from_store =
       store != nullptr && costs.moves.store_transfer_pays(
                               shared, topology::distance(store->place, engine.place), prefill_ms_per_token);
   option.cost_ms += kv_transfer.transfer_ms;
@@ -180,7 +180,7 @@
     option.cost_ms += (shared - own_tokens) * costs.copy_ms_per_token;
   }
   option.cost_ms += engine.outstanding * costs.per_outstanding_ms;
-  option.cost_ms += engine.old_weights ? costs.old_weights_ms : 0;
+  option.cost_ms += engine.has_outdated_weights ? costs.old_weights_ms : 0;
   option.cost_ms += costs.ways.ms(engine.distance);
   return option;
 }
--- a/src/placement/part_placement.h
+++ b/src/placement/prompt_placement.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "src/common/time.h"
-#include "src/placement/chain_memory.h"
+#include "src/placement/kv_cache_estimate.h"
 #include "src/placement/transfer_costs.h"
 #include "src/topology/topology.h"
 
@@ -24,23 +24,23 @@
 /// What placement knows about one engine.
 struct EngineView {
   uint64_t name_hash = 0;
-  const ChainMemory* memory = nullptr;
+  const KvCacheEstimate* memory = nullptr;
   uint64_t weights = 0;      ///< version of its weights for the chain's model
   uint32_t outstanding = 0;  ///< requests in flight there, from all routers as far as known
   uint32_t slots = 1;
   double ms_per_token = 0;  ///< estimated prefill time per token
   double wait_ms = 0;       ///< until a request sent now would begin to be processed
-  topology::Place place;
+  topology::Location place;
   topology::Distance distance = topology::Distance::kSameRegion;  ///< from this router
-  bool old_weights = false;  ///< a newer version of the weights is available
-  bool candidate = true;     ///< may receive the request
-  bool sound = true;         ///< may be a source of KV cache
+  bool has_outdated_weights = false;  ///< a newer version of the weights is available
+  bool candidate = true;              ///< may receive the request
+  bool sound = true;                  ///< may be a source of KV cache
 };
 
 /// The store that is responsible for a chain.
 struct StoreView {
-  const ChainMemory* memory = nullptr;
-  topology::Place place;
+  const KvCacheEstimate* memory = nullptr;
+  topology::Location place;
 };
 
 /// The cost of the distance to an engine, in milliseconds: the round trip, and the price of the bytes.
@@ -67,9 +67,9 @@
 struct Placement {
   size_t target = 0;
   std::optional<size_t> source;
-  bool from_store = false;      ///< the source is the store, which holds more than any engine
-  bool store_pays = false;      ///< transferring all shared parts from the store would be worthwhile
-  uint32_t missing_tokens = 0;  ///< number of tokens that the target has to compute itself
+  bool from_store = false;               ///< the source is the store, which holds more than any engine
+  bool worth_taking_from_store = false;  ///< transferring all shared parts from the store would be worthwhile
+  uint32_t missing_tokens = 0;           ///< number of tokens that the target has to compute itself
 };
 
 /// Returns the best placement. At least one of `engines` must be a candidate. `store` is nullptr if there is
--- a/src/placement/transfer_costs.cc
+++ b/src/placement/transfer_costs.cc
@@ -51,7 +51,7 @@
          store_transfer_ms(tokens, distance) < kMaxTransferRatio * prefill_ms_per_token * tokens;
 }
 
-TransferCosts move_costs(const fleet::EngineProfile& engine, const fleet::Service* store) {
+TransferCosts make_transfer_costs(const fleet::EngineProfile& engine, const fleet::Service* store) {
   TransferCosts costs;
   if (engine.kv_bytes_per_token > 0 && engine.link_mbps > 0) {
     costs.engine_link_known = true;
--- a/src/placement/transfer_costs.h
+++ b/src/placement/transfer_costs.h
@@ -39,6 +39,6 @@
 };
 
 /// Returns the costs for a service with this engine profile, and for a store; nullptr if there is none.
-TransferCosts move_costs(const fleet::EngineProfile& engine, const fleet::Service* store);
+TransferCosts make_transfer_costs(const fleet::EngineProfile& engine, const fleet::Service* store);
 
 }  // namespace stoat::placement
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -40,7 +40,7 @@
 
 /// Distributes the requests of a traffic split over its services by smooth weighted round robin, so that each
 /// service gets its share even over a few requests.
-class SplitChooser {
+class TrafficSplitter {
  public:
   /// Returns the service for the next request of a route.
   const std::string& choose(const fleet::Route& route);
