--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -43,9 +43,9 @@
 /// Any message. New alternatives go at the end.
 using Message =
     Packed<ControlCall, ControlAnswer, PeerMessage, JoinRequest, fleet::RouterStatus, fleet::FleetUpdate,
-           fleet::PeerNews, fleet::ConfirmedRead, fleet::ConfirmedReadAnswer, fleet::MemberAddresses,
-           fleet::PlacementNews, fleet::FleetNews, fleet::RouterLoads, fleet::ConfirmationQuestion,
-           fleet::ConfirmationAnswer, fleet::PermitQuestion, fleet::PermitAnswer>;
+           fleet::PeerUpdate, fleet::ConfirmedRead, fleet::ConfirmedReadResponse, fleet::MemberAddresses,
+           fleet::PlacementUpdate, fleet::FleetFeedUpdate, fleet::RouterLoads, fleet::ConfirmationRequest,
+           fleet::ConfirmationResponse, fleet::PermitRequest, fleet::PermitResponse>;
 
 }  // namespace stoat::wire
 
--- a/standins/backend_server.h
+++ b/standins/backend_server.h
@@ -86,7 +86,7 @@
   BackendSettings settings_;
   std::string id_;  ///< new at every start
   uint64_t epoch_;  ///< of its cache
-  control::FleetInterface interface_;
+  control::FleetHttpInterface interface_;
   dispatch::HeaderNames names_;
   Logger log_{"standin"};
   http::Client client_;
--- a/tests/support/drawn_rollout.h
+++ b/tests/support/drawn_rollout.h
@@ -178,11 +178,11 @@
   /// Draws a time to the first event, multiplied by `factor`, and returns the bucket that counts it.
   size_t draw_time_bucket(double factor) {
     const double slowdown = disturbed() ? conditions_.disturbance_slowdown : 1;
-    return rollout::time_bucket(from_seconds(conditions_.median_first_event_ms * factor * slowdown *
-                                             std::exp(conditions_.sigma * normal()) / 1000));
+    return rollout::latency_bucket(from_seconds(conditions_.median_first_event_ms * factor * slowdown *
+                                                std::exp(conditions_.sigma * normal()) / 1000));
   }
   uint8_t condition(double load) const {
-    return rollout::condition_of(0, static_cast<uint32_t>(16 * load), 16);
+    return rollout::classify_condition(0, static_cast<uint32_t>(16 * load), 16);
   }
 
   /// Advances the simulation by kStep.
@@ -214,8 +214,8 @@
   double target_share(size_t route) const {
     switch (applied_rollout_.phase) {
       case fleet::RolloutPhase::kTrial:
-        return rollout::share_of_route(applied_rollout_.share, conditions_.routes[route],
-                                       conditions_.routes.size());
+        return rollout::trial_share_of_route(applied_rollout_.share, conditions_.routes[route],
+                                             conditions_.routes.size());
       case fleet::RolloutPhase::kSwitching:
       case fleet::RolloutPhase::kCompleted:
         return 1;
@@ -239,7 +239,7 @@
       return;
     }
     fleet::AnswerCount count{{1, false, "", route_names_[route], condition(conditions_.load)}, {}};
-    count.sums.times.resize(rollout::kTimeBuckets);
+    count.sums.times.resize(rollout::kLatencyBuckets);
     count.sums.sent = responses;
     // The times of at most kMaxDrawnTimes responses are drawn, and each is counted for several.
     constexpr uint64_t kMaxDrawnTimes = 24;
@@ -255,7 +255,7 @@
     if (responses == 0) {
       return;
     }
-    const std::vector<std::string> sample = rollout::sample_of(backend_ids_, applied_rollout_);
+    const std::vector<std::string> sample = rollout::sampled_backends(backend_ids_, applied_rollout_);
     // During the trial, each backend of the sample bears the load that it would bear if its version received
     // all requests, or less if the sample is larger than the share requires.
     const double relative_load =
@@ -275,7 +275,7 @@
       if (count.sums.times.empty()) {
         const std::string& id = sample[(first_index + response) % sample.size()];
         count.key = {1, true, id, route_names_[route], condition(load)};
-        count.sums.times.resize(rollout::kTimeBuckets);
+        count.sums.times.resize(rollout::kLatencyBuckets);
       }
       ++count.sums.sent;
       const bool bad = fault_shows && random_.chance(conditions_.bad_fraction);
@@ -307,7 +307,7 @@
       return;
     }
     fleet::AnswerCount count{
-        {1, true, rollout::sample_of(backend_ids_, applied_rollout_).front(), route_names_[0], 0}, {}};
+        {1, true, rollout::sampled_backends(backend_ids_, applied_rollout_).front(), route_names_[0], 0}, {}};
     count.sums.broken = 1 + random_.below(16);
     new_counts_.push_back(count);
   }
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "src/admission/backend_limits.h"
-#include "src/admission/permit_book.h"
+#include "src/admission/permit_issuer.h"
 #include "src/common/random.h"
 #include "tests/support/delayed_actions.h"
 
@@ -51,7 +51,7 @@
   void restart_router(size_t index) {
     Router& router = routers_[index];
     router.limits = std::make_unique<admission::BackendLimits>();
-    router.limits->note_told({"b", options_.limit}, now_);
+    router.limits->apply_shared_limit({"b", options_.limit}, now_);
     router.next_request_at = now_ + from_seconds(random_.exponential(1 / options_.demand));
     ++router.start_count;
   }
@@ -78,7 +78,7 @@
   static constexpr Duration kStep = 5ms;
   /// A member that is or was the leader.
   struct Leader {
-    admission::PermitBook book;
+    admission::PermitIssuer book;
     TimePoint grants_until = TimePoint::max();
   };
   struct Router {
@@ -86,7 +86,7 @@
     TimePoint next_request_at{0};  ///< when the next request for the backend arrives
     TimePoint frozen_until{0};
     uint64_t start_count = 0;  ///< number of starts so far; answers to an earlier start are dropped
-    std::deque<fleet::PermitAnswer> received_answers;
+    std::deque<fleet::PermitResponse> received_answers;
   };
 
   /// Delivers a message after a random delay by running `action`, unless the message is lost.
@@ -120,14 +120,14 @@
     }
   }
   void request_permits(size_t index) {
-    const fleet::PermitQuestion permit_request = routers_[index].limits->take_question(now_);
+    const fleet::PermitRequest permit_request = routers_[index].limits->take_permit_request(now_);
     // Some routers still send to a previous leader.
     const size_t leader_index = random_.chance(0.5) ? leaders_.size() - 1 : random_.below(leaders_.size());
     const uint64_t start_count = routers_[index].start_count;
     send_message([this, index, permit_request, leader_index, start_count] {
       ++permit_requests_;
-      fleet::PermitAnswer answer{permit_request.number, {}};
-      for (const fleet::PermitWish& wanted : permit_request.wishes) {
+      fleet::PermitResponse answer{permit_request.number, {}};
+      for (const fleet::PermitRequestItem& wanted : permit_request.wishes) {
         if (now_ <= leaders_[leader_index].grants_until) {
           const auto grant =
               leaders_[leader_index].book.ask(wanted.backend, wanted.per_second, wanted.count, now_);
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "src/admission/quota_book.h"
-#include "src/admission/quota_gate.h"
+#include "src/admission/quota_enforcer.h"
+#include "src/admission/quota_ledger.h"
 #include "src/common/random.h"
 #include "tests/support/delayed_actions.h"
 
@@ -145,7 +145,7 @@
   struct Member {
     Member(const admission::QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
         : book(tolerance, start_id, now) {}
-    admission::QuotaBook book;
+    admission::QuotaLedger book;
     bool cut = false;                ///< cut off from all routers and members
     bool isolated = false;           ///< cut off from the other members
     TimePoint link_changed_at{0};    ///< last change of `cut` or `isolated`
@@ -153,7 +153,7 @@
   };
   struct Router {
     Router(const admission::QuotaTolerance& tolerance, uint64_t seed) : gate(tolerance, seed) {}
-    admission::QuotaGate gate;
+    admission::QuotaEnforcer gate;
     bool cut = false;
     TimePoint link_changed_at{0};                   ///< last change of `cut`
     TimePoint last_contact{0};                      ///< last contact with a member
@@ -268,7 +268,7 @@
     for (const auto& router : routers_) {
       const bool timed_out = router->cut && now_ - router->link_changed_at > kRouterTimeout;
       if (timed_out && now_ - router->link_changed_at < kKeyLease) {
-        unheard += admission::kAlonePart;
+        unheard += admission::kDisconnectedRateFraction;
       }
       const size_t followed_member = router->followed_member;
       if (!router->cut && followed_member != SIZE_MAX && !can_communicate(index, followed_member)) {
@@ -291,11 +291,11 @@
     if (router.followed_member != member || router.received_revisions.count(member) == 0) {
       router.followed_member = member;
       router.received_revisions[member] = 0;
-      router.gate.begin_feed();
+      router.gate.on_member_change();
       send_levels(router, *members_[member], member);
     }
-    if (router.gate.has_untold()) {
-      auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_untold());
+    if (router.gate.has_unreported()) {
+      auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_unreported());
       last_report_numbers_[index] = batch->number;
       Member* target = members_[member].get();
       const uint64_t member_start = target->book.start_id();
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -19,9 +19,9 @@
 namespace stoat::test {
 
 /// Records the orders to engines and accepts all of them. Provides no reports and no cache events.
-class NotedOrders : public control::EngineOrders {
+class NotedOrders : public control::EngineInterface {
  public:
-  void send(const control::VersionOrder& order,
+  void send(const control::LoadWeightsOrder& order,
             std::function<void(control::OrderAnswer)> on_answer) override {
     orders.push_back(order);
     on_answer(control::OrderAnswer::kTaken);
@@ -29,11 +29,11 @@
   void ask(const std::string&, std::function<void(const control::EngineReport*)> on_report) override {
     on_report(nullptr);
   }
-  void follow_cache(const std::string&, uint64_t,
-                    std::function<void(const control::CacheEvents*)> on_events) override {
+  void poll_cache_events(const std::string&, uint64_t,
+                         std::function<void(const control::CacheEvents*)> on_events) override {
     on_events(nullptr);
   }
-  std::vector<control::VersionOrder> orders;
+  std::vector<control::LoadWeightsOrder> orders;
 };
 
 /// Runs `action` on the thread of an event loop, waits for it, and returns its result.
--- a/tests/unit/cache_duty_test.cc
+++ b/tests/unit/assigned_caches_test.cc
@@ -1,13 +1,13 @@
 /// The assignment of caches to a member, with 10,000 backends: the cost of an update must depend on what has
 /// changed.
-#include "src/control/cache_duty.h"
+#include "src/control/assigned_caches.h"
 
 #include <gtest/gtest.h>
 
 namespace stoat {
 namespace {
 
-using control::CacheDuty;
+using control::AssignedCaches;
 
 constexpr size_t kEngines = 10000;
 constexpr size_t kMembers = 10;
@@ -37,10 +37,10 @@
     return assignment_.update(backends_, stores_, members_, now_);
   }
   TimePoint now_ = 100s;
-  CacheDuty::BackendTable backends_;
-  CacheDuty::StoreZones stores_{{"s:1", "z1"}};
+  AssignedCaches::BackendTable backends_;
+  AssignedCaches::StoreZones stores_{{"s:1", "z1"}};
   std::vector<control::LiveMember> members_;
-  CacheDuty assignment_{"m1", topology::Topology{}};
+  AssignedCaches assignment_{"m1", topology::Topology{}};
 };
 
 TEST_F(CacheDutyTest, UpdateWithoutChangesEvaluatesNothing) {
@@ -70,10 +70,10 @@
   run_update();
   backends_.erase("e5");
   run_update();
-  EXPECT_EQ(assignment_.take_gone(), std::vector<std::string>{"e5"});
+  EXPECT_EQ(assignment_.take_removed_backends(), std::vector<std::string>{"e5"});
   EXPECT_FALSE(assignment_.knows("e5"));
   run_update();
-  EXPECT_TRUE(assignment_.take_gone().empty());
+  EXPECT_TRUE(assignment_.take_removed_backends().empty());
 }
 
 TEST_F(CacheDutyTest, ReassignsTheCachesOfALostMember) {
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -199,11 +199,11 @@
 // Guards against exceeding the limit by adding a returned permit to a later grant.
 TEST(BackendLimits, PermitIsReturnedOnlyToItsOwnGrant) {
   admission::BackendLimits limits;
-  limits.note_named("b", 1, 1s);
+  limits.record_reported_limit("b", 1, 1s);
   const auto grant_one = [&](TimePoint now) {
     limits.want("b", now);
-    const uint64_t number = limits.take_question(now).number;
-    fleet::PermitAnswer answer;
+    const uint64_t number = limits.take_permit_request(now).number;
+    fleet::PermitResponse answer;
     answer.number = number;
     answer.terms.push_back({"b", 1, 0});
     limits.on_answer(answer, now);
@@ -221,7 +221,7 @@
 
 TEST(BackendLimits, NewIncarnationHasNoLimitUntilItReportsOne) {
   admission::BackendLimits limits;
-  limits.note_named("b#1", 1, 1s);
+  limits.record_reported_limit("b#1", 1, 1s);
   EXPECT_FALSE(limits.may_send("b#1", 2s));
   EXPECT_TRUE(limits.may_send("b#2", 2s));
 }
--- a/tests/unit/cache_watch_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -1,31 +1,31 @@
 /// What control members learn from the events of KV caches, and how routers use it.
-#include "src/control/cache_watch.h"
+#include "src/control/cache_event_poller.h"
 
 #include <gtest/gtest.h>
 
 #include "src/dispatch/store_set.h"
 #include "src/placement/cache_namespace.h"
-#include "src/placement/chain_memory.h"
+#include "src/placement/kv_cache_estimate.h"
 
 namespace stoat {
 namespace {
 
+using control::CacheEventPoller;
 using control::CacheEvents;
-using control::CacheWatch;
-using fleet::PartHolding;
+using fleet::CachedPart;
 
 /// Records the requests for cache events, for the test to answer.
-class FakeEngines : public control::EngineOrders {
+class FakeEngines : public control::EngineInterface {
  public:
   struct Request {
     std::string address;
     uint64_t since = 0;
     std::function<void(const CacheEvents*)> answer;
   };
-  void send(const control::VersionOrder&, std::function<void(control::OrderAnswer)>) override {}
+  void send(const control::LoadWeightsOrder&, std::function<void(control::OrderAnswer)>) override {}
   void ask(const std::string&, std::function<void(const control::EngineReport*)>) override {}
-  void follow_cache(const std::string& address, uint64_t since,
-                    std::function<void(const CacheEvents*)> on_events) override {
+  void poll_cache_events(const std::string& address, uint64_t since,
+                         std::function<void(const CacheEvents*)> on_events) override {
     requests.push_back({address, since, std::move(on_events)});
   }
   /// Answers the oldest request.
@@ -44,7 +44,7 @@
   CacheWatchTest() { watch_.follow({followed(1)}); }
   static control::FollowedCache followed(uint64_t claim) { return {"e1", "a:1", false, claim, 0, 0}; }
   /// Polls the cache, which answers that it is in `epoch` and reports these changes.
-  void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<PartHolding> holdings, bool gap = false) {
+  void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<CachedPart> holdings, bool gap = false) {
     now_ += 2s;
     watch_.poll(now_);
     ASSERT_EQ(engines_.requests.size(), 1U);
@@ -53,7 +53,7 @@
   }
 
   FakeEngines engines_;
-  CacheWatch watch_{engines_};
+  CacheEventPoller watch_{engines_};
   TimePoint now_{0};
 };
 
@@ -80,7 +80,7 @@
                   {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kPart, 2, 0}, {kPart, 3, 70}, {kOtherPart, 2, 0}});
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
+  EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, DropForOlderWeightsDoesNotReplaceNewerHolding) {
@@ -88,14 +88,14 @@
   watch_.take_changes();
   poll_and_answer(7, 9, {{kPart, 3, 100}, {kPart, 2, 0}});
   const auto changes = watch_.take_changes();
-  EXPECT_EQ(changes.at(0).holdings, (std::vector<PartHolding>{{kPart, 3, 100}, {kPart, 2, 0}}));
+  EXPECT_EQ(changes.at(0).holdings, (std::vector<CachedPart>{{kPart, 3, 100}, {kPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, InitialReadOmitsDroppedParts) {
   poll_and_answer(7, 9, {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kOtherPart, 2, 0}});
   const auto changes = watch_.take_changes();
   ASSERT_TRUE(changes.at(0).anew);
-  EXPECT_EQ(changes[0].holdings, (std::vector<PartHolding>{{kPart, 2, 100}}));
+  EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 2, 100}}));
 }
 
 TEST_F(CacheWatchTest, StartsInitialReadsAFewAtATime) {
@@ -130,7 +130,7 @@
 }
 
 TEST_F(CacheWatchTest, NewFollowerContinuesWhereTheLastOneStopped) {
-  CacheWatch new_follower(engines_);
+  CacheEventPoller new_follower(engines_);
   new_follower.follow({{"e1", "a:1", false, 5, 7, 40}});
   new_follower.poll(1s);
   ASSERT_EQ(engines_.requests.size(), 1U);
@@ -190,8 +190,8 @@
  protected:
   static constexpr uint64_t kWeights = 3;
   placement::PromptChain chain_{{{1, 1000}, {2, 500}, {3, 70}}, 1570};
-  placement::EventTrust trust_{3600s};
-  placement::ChainMemory memory_;
+  placement::EventValidity trust_{3600s};
+  placement::KvCacheEstimate memory_;
 };
 
 TEST_F(ChainMemoryTest, WithEventsOnlyReportedHoldingsCount) {
@@ -201,7 +201,7 @@
   memory_.set_holding(1, kWeights, 1000);
   memory_.set_holding(2, kWeights, 500);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 60s), 1500U);
-  EXPECT_TRUE(memory_.surely_holds(chain_, kWeights, 60s));
+  EXPECT_TRUE(memory_.certainly_holds(chain_, kWeights, 60s));
 }
 
 TEST_F(ChainMemoryTest, PartiallyDroppedPartEndsTheUsablePrefix) {
@@ -210,7 +210,7 @@
   memory_.set_holding(2, kWeights, 500);
   memory_.set_holding(1, kWeights, 640);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 640U);
-  EXPECT_FALSE(memory_.surely_holds(chain_, kWeights, 1s));
+  EXPECT_FALSE(memory_.certainly_holds(chain_, kWeights, 1s));
 }
 
 TEST_F(ChainMemoryTest, DropEventOverridesARecentObservation) {
--- a/tests/unit/crash_book_test.cc
+++ b/tests/unit/crash_history_test.cc
@@ -1,5 +1,5 @@
 /// What is recorded about requests that were in flight at backends when those crashed.
-#include "src/admission/crash_book.h"
+#include "src/admission/crash_history.h"
 
 #include <gtest/gtest.h>
 
@@ -10,21 +10,21 @@
 namespace stoat {
 namespace {
 
-using admission::CrashBook;
+using admission::CrashHistory;
 using admission::RequestStanding;
 
 constexpr uint64_t kRequest = 7;
 
-/// Returns a CrashBook with `crashes` crashes of kRequest, one second apart, starting at 1 s.
-CrashBook book_with_crashes(uint32_t crashes) {
-  CrashBook book;
+/// Returns a CrashHistory with `crashes` crashes of kRequest, one second apart, starting at 1 s.
+CrashHistory book_with_crashes(uint32_t crashes) {
+  CrashHistory book;
   for (uint32_t number = 1; number <= crashes; ++number) {
     book.note_crash(kRequest, "b" + std::to_string(number), std::chrono::seconds(number));
   }
   return book;
 }
 
-TEST(CrashBook, RequestIsSuspectAfterSecondCrashAndQuarantinedAfterThird) {
+TEST(CrashHistory, RequestIsSuspectAfterSecondCrashAndQuarantinedAfterThird) {
   EXPECT_EQ(book_with_crashes(1).standing(kRequest, 4s).standing, RequestStanding::kClear);
   EXPECT_EQ(book_with_crashes(2).standing(kRequest, 4s).standing, RequestStanding::kSuspect);
   EXPECT_EQ(book_with_crashes(3).standing(kRequest, 4s).standing, RequestStanding::kQuarantined);
@@ -34,8 +34,8 @@
   EXPECT_EQ(book_with_crashes(4).standing(kRequest, 5s).left, 239s);
 }
 
-TEST(CrashBook, CrashReportedByManyRoutersCountsOnce) {
-  CrashBook book;
+TEST(CrashHistory, CrashReportedByManyRoutersCountsOnce) {
+  CrashHistory book;
   for (int router = 0; router < 5; ++router) {
     book.note_crash(kRequest, "b1", 1s);
     book.merge({kRequest, {{"b1", 300, false, false}}}, 2s);
@@ -43,22 +43,22 @@
   EXPECT_EQ(book.crashes(kRequest, 5s), 1U);
 }
 
-TEST(CrashBook, OneSuccessfulCompletionClearsAllCrashes) {
-  CrashBook book = book_with_crashes(3);
-  EXPECT_TRUE(book.acquit(kRequest, 4s));
+TEST(CrashHistory, OneSuccessfulCompletionClearsAllCrashes) {
+  CrashHistory book = book_with_crashes(3);
+  EXPECT_TRUE(book.clear_crashes(kRequest, 4s));
   EXPECT_EQ(book.standing(kRequest, 4s).standing, RequestStanding::kClear);
-  EXPECT_FALSE(book.acquit(kRequest, 4s));
+  EXPECT_FALSE(book.clear_crashes(kRequest, 4s));
 }
 
-TEST(CrashBook, LateRecordDoesNotUndoClearedCrashes) {
-  CrashBook book = book_with_crashes(3);
+TEST(CrashHistory, LateRecordDoesNotUndoClearedCrashes) {
+  CrashHistory book = book_with_crashes(3);
   const fleet::CrashRecord before = book.record(kRequest, 4s);
-  book.acquit(kRequest, 4s);
+  book.clear_crashes(kRequest, 4s);
   EXPECT_FALSE(book.merge(before, 5s));
   EXPECT_EQ(book.crashes(kRequest, 5s), 0U);
 }
 
-TEST(CrashBook, MergingConvergesForAnyRecordOrder) {
+TEST(CrashHistory, MergingConvergesForAnyRecordOrder) {
   Random random(5);
   for (int round = 0; round < 200; ++round) {
     std::vector<fleet::CrashRecord> records;
@@ -66,8 +66,8 @@
       const std::string backend = "b" + std::to_string(random.below(4));
       records.push_back({kRequest, {{backend, 1000, random.below(4) == 0, random.below(2) == 0}}});
     }
-    CrashBook forwards;
-    CrashBook backwards;
+    CrashHistory forwards;
+    CrashHistory backwards;
     for (size_t position = 0; position < records.size(); ++position) {
       forwards.merge(records[position], 10s);
       backwards.merge(records[records.size() - 1 - position], 10s);
@@ -77,8 +77,8 @@
 }
 
 // Guards against sending a request to more backends while its crashes are still unconfirmed.
-TEST(CrashBook, BrokenExchangesCountAsCrashesUntilTheOutcomeIsKnown) {
-  CrashBook book;
+TEST(CrashHistory, BrokenExchangesCountAsCrashesUntilTheOutcomeIsKnown) {
+  CrashHistory book;
   for (const char* backend : {"b1", "b2", "b3"}) {
     EXPECT_TRUE(book.note_broken_exchange(kRequest, backend, 1s));
   }
@@ -96,8 +96,8 @@
   EXPECT_GT(book.standing(kRequest, 4s).left, 100s);
 }
 
-TEST(CrashBook, ManyOtherRequestsDoNotEvictASuspect) {
-  CrashBook book = book_with_crashes(2);
+TEST(CrashHistory, ManyOtherRequestsDoNotEvictASuspect) {
+  CrashHistory book = book_with_crashes(2);
   for (uint64_t other = 100; other < 40000; ++other) {
     book.note_crash(other, "elsewhere", 3s);
   }
@@ -107,13 +107,13 @@
 
 /// A service of 12 backends runs requests of 300 ms each, 40 at a time, while one backend after another is
 /// killed. A request that breaks off is sent again, three times at most.
-TEST(CrashBook, FewRequestsAreQuarantinedWhenBackendsAreKilledExternally) {
+TEST(CrashHistory, FewRequestsAreQuarantinedWhenBackendsAreKilledExternally) {
   constexpr uint32_t kBackends = 12;
   constexpr Duration kRunDuration = 300ms;
   constexpr Duration kKillInterval = 500ms;  // each backend is killed every 6 s
   constexpr uint32_t kMaxSends = 4;
   Random random(11);
-  CrashBook book;
+  CrashHistory book;
   uint32_t quarantined = 0;
   constexpr uint32_t kRequests = 100000;
   for (uint64_t request = 0; request < kRequests; ++request) {
@@ -128,7 +128,7 @@
       const auto next_kill = static_cast<uint64_t>(sent / kKillInterval + 1);
       const TimePoint killed = static_cast<int64_t>(next_kill) * kKillInterval;
       if (next_kill % kBackends != backend || killed > sent + kRunDuration) {
-        book.acquit(request, sent);
+        book.clear_crashes(request, sent);
         break;
       }
       book.note_crash(request, std::to_string(backend) + "@" + std::to_string(next_kill), killed);
--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -9,7 +9,7 @@
 #include <queue>
 
 #include "src/common/random.h"
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 #include "tests/support/fake_engine.h"
 
 namespace stoat::placement {
@@ -156,14 +156,14 @@
 TEST(FirstEventModel, OlderReportsLoseWeightAgainstTheMean) {
   EngineQueue queue;
   queue.others_outstanding = 30;
-  queue.usual_others = 6;
-  EXPECT_DOUBLE_EQ(present_outstanding(queue, 300), 30);
+  queue.mean_others_outstanding = 6;
+  EXPECT_DOUBLE_EQ(estimate_outstanding(queue, 300), 30);
   queue.age = 300ms;
-  EXPECT_NEAR(present_outstanding(queue, 300), 6 + 24 / std::exp(1), 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 6 + 24 / std::exp(1), 0.01);
   queue.age = 10s;
-  EXPECT_NEAR(present_outstanding(queue, 300), 6, 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 6, 0.01);
   queue.own_outstanding = 2;
-  EXPECT_NEAR(present_outstanding(queue, 300), 8, 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 8, 0.01);
 }
 
 TEST(FirstEventModel, FrozenEngineDoesNotDistortServiceSpeed) {
--- a/tests/unit/fleet_admin_api_test.cc
+++ b/tests/unit/fleet_admin_api_test.cc
@@ -41,7 +41,7 @@
 }
 
 TEST(FleetBodies, FormatOrdersWithDefaultFieldNames) {
-  VersionOrder order;
+  LoadWeightsOrder order;
   order.model = "m";
   order.version = 2;
   order.fence = 9;
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -84,7 +84,7 @@
   engine.sequence = 1;
   engine.models = {{"m", 1}};
   members_[0]->heartbeat(engine);  // a single heartbeat, to one member
-  ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::NameWeights{"m", 2}); }));
+  ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::SetTargetWeights{"m", 2}); }));
   const auto leader = [&]() -> std::optional<size_t> {
     for (auto& [position, member] : members_) {
       if (member->orders() > 0) {
--- a/tests/unit/fleet_knowledge_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -1,9 +1,9 @@
 /// The soft state of control members, its exchange between members and its feed to routers.
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 #include <gtest/gtest.h>
 
-#include "src/control/leader_confirmation.h"
+#include "src/control/leader_confirmation_tracker.h"
 
 namespace stoat {
 namespace {
@@ -11,8 +11,8 @@
 using control::FeedCursor;
 using control::FleetSoftState;
 using fleet::BackendLoad;
-using fleet::FleetNews;
-using fleet::PeerNews;
+using fleet::FleetFeedUpdate;
+using fleet::PeerUpdate;
 
 constexpr size_t kMaxRouters = 1000;
 
@@ -41,7 +41,7 @@
   size_t messages = 0;
   void update(const FleetSoftState& soft_state) {
     for (;;) {
-      const FleetNews message = soft_state.next_feed_message(cursor, TimePoint(0));
+      const FleetFeedUpdate message = soft_state.next_feed_message(cursor, TimePoint(0));
       if (message.empty()) {
         return;
       }
@@ -52,7 +52,7 @@
       }
     }
   }
-  void apply(const FleetNews& message) {
+  void apply(const FleetFeedUpdate& message) {
     for (const fleet::BackendRecord& record : message.backends) {
       backends[record.id] = record;
     }
@@ -63,7 +63,7 @@
       loads[load.backend] = load;
     }
     for (const fleet::CacheChanges& changes : message.caches) {
-      for (const fleet::PartHolding& holding : changes.holdings) {
+      for (const fleet::CachedPart& holding : changes.holdings) {
         parts[changes.holder][holding.part] = holding.tokens;
       }
     }
@@ -126,7 +126,7 @@
   EXPECT_EQ(follower.backends.size(), 250U);
   EXPECT_GE(follower.messages, 3U);  // the full state is split into several messages
   first_.set_loading("e7", true);
-  const FleetNews message = first_.next_feed_message(follower.cursor, now_);
+  const FleetFeedUpdate message = first_.next_feed_message(follower.cursor, now_);
   EXPECT_FALSE(message.anew);
   ASSERT_EQ(message.backends.size(), 1U);
   EXPECT_TRUE(message.backends[0].loading);
@@ -293,7 +293,7 @@
   EXPECT_EQ(follower.parts["e1"][11], 100U);  // the earlier cache contents were replicated
   // Changes that the first member sends under its old claim are ignored.
   EXPECT_FALSE(second_.caches().find("e1")->parts.count(12));
-  PeerNews late;
+  PeerUpdate late;
   late.sender = "10.0.0.1:7";
   late.caches = {cache_changes("e1", before[0].claim, 12)};
   second_.on_peer_update(late, later);
@@ -348,7 +348,7 @@
   first_.on_heartbeat(engine_record("e1"), now_);
   exchange();
   first_.on_heartbeat(engine_record("e1", 2), now_);
-  const PeerNews peer_update = first_.take_peer_update(4, true, now_);
+  const PeerUpdate peer_update = first_.take_peer_update(4, true, now_);
   EXPECT_TRUE(peer_update.heartbeats.empty());
   ASSERT_EQ(peer_update.marks.size(), 1U);
   const TimePoint later = now_ + 5s;
@@ -386,7 +386,7 @@
   started.on_heartbeat(engine_record("e1"), now_ + 500ms);
   started.expire(now_ + 500ms);
   FeedReceiver follower;
-  FleetNews message = started.next_feed_message(follower.cursor, now_);
+  FleetFeedUpdate message = started.next_feed_message(follower.cursor, now_);
   EXPECT_TRUE(message.anew);
   EXPECT_EQ(message.backends.size(), 1U);
   EXPECT_FALSE(message.complete);
@@ -405,8 +405,8 @@
   EXPECT_TRUE(first_.take_peer_update(1, true, now_).placements.empty());
 }
 
-TEST(CacheMirror, RemovingPartsOfOldWeightsKeepsThoseOfNewOnes) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, RemovingPartsOfOldWeightsKeepsThoseOfNewOnes) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "s:1";
   changes.claim = 1;
@@ -415,8 +415,8 @@
   EXPECT_EQ(mirror.whole("s:1").holdings.at(0).tokens, 100U);
 }
 
-TEST(CacheMirror, OneOfTwoFollowersWithEqualClaimsWins) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, OneOfTwoFollowersWithEqualClaimsWins) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "e1";
   changes.claim = 3;
@@ -429,16 +429,16 @@
 TEST(RouterDirectory, RouterThatItsMemberNoLongerHearsIsNotListed) {
   control::RouterDirectory directory;
   directory.on_notice("m", {router_record("r1"), true}, 1s);
-  EXPECT_EQ(directory.for_callers("z1", kMaxRouters, 1s).size(), 1U);
+  EXPECT_EQ(directory.select_for_callers("z1", kMaxRouters, 1s).size(), 1U);
   directory.on_notice("m", {router_record("r1"), false}, 2s);
-  EXPECT_TRUE(directory.for_callers("z1", kMaxRouters, 2s).empty());
+  EXPECT_TRUE(directory.select_for_callers("z1", kMaxRouters, 2s).empty());
   directory.on_status(router_record("r1"), 3s);
   EXPECT_EQ(directory.ready_count(4s), 1U);
   EXPECT_EQ(directory.ready_count(20s), 0U);
 }
 
-TEST(LeaderQuestions, ConfirmationAgeIsCountedFromTheRequest) {
-  control::LeaderQuestions questions;
+TEST(LeaderConfirmationTracker, ConfirmationAgeIsCountedFromTheRequest) {
+  control::LeaderConfirmationTracker questions;
   const auto question = questions.ask(10s);
   questions.on_answer({question.number, 40, 7});
   ASSERT_TRUE(questions.newest());
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -358,7 +358,7 @@
     auto opened = wire::Channel::connect(
         loop_, control_endpoint_,
         [heard, greeted](const std::shared_ptr<wire::Channel>&, const wire::Message& message) {
-          if (const auto* news = std::get_if<fleet::FleetNews>(&message.value)) {
+          if (const auto* news = std::get_if<fleet::FleetFeedUpdate>(&message.value)) {
             heard->insert(heard->end(), news->placements.begin(), news->placements.end());
           }
           *greeted = true;
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -5,8 +5,8 @@
 #include <deque>
 
 #include "src/common/hash.h"
-#include "src/control/fleet_knowledge.h"
-#include "src/control/peer_feeds.h"
+#include "src/control/fleet_soft_state.h"
+#include "src/control/peer_flow_control.h"
 #include "src/wire/channel.h"
 
 namespace stoat {
@@ -14,7 +14,7 @@
 
 using control::FeedCursor;
 using control::FleetSoftState;
-using control::PeerFeeds;
+using control::PeerFlowControl;
 
 constexpr size_t kMembers = 5;
 constexpr size_t kEngines = 3000;
@@ -40,9 +40,9 @@
 
 /// A connection with limited capacity, which delivers updates in order.
 struct Connection {
-  std::deque<std::pair<size_t, fleet::PeerNews>> queue;
+  std::deque<std::pair<size_t, fleet::PeerUpdate>> queue;
   size_t unsent = 0;
-  void send(size_t bytes, const fleet::PeerNews& peer_update) {
+  void send(size_t bytes, const fleet::PeerUpdate& peer_update) {
     unsent += bytes;
     queue.emplace_back(bytes, peer_update);
   }
@@ -52,7 +52,7 @@
   explicit Member(size_t number, TimePoint now)
       : soft_state({member_address(number), "zone-" + std::to_string(number), {}, {}, number + 1, now}) {}
   FleetSoftState soft_state;
-  PeerFeeds feeds;
+  PeerFlowControl feeds;
   std::map<size_t, Connection> connections;  ///< by receiver
 };
 
@@ -72,7 +72,7 @@
     }
   }
   void exchange(Member& member) {
-    const fleet::PeerNews peer_update = member.soft_state.take_peer_update(1, false, now_);
+    const fleet::PeerUpdate peer_update = member.soft_state.take_peer_update(1, false, now_);
     const size_t bytes = wire::make_frame(peer_update).bytes.size();
     for (size_t to = 0; to < kMembers; ++to) {
       if (members_[to].get() == &member) {
@@ -80,7 +80,7 @@
       }
       Connection& connection = member.connections[to];
       const bool lost = std::exchange(lose_next_, false);
-      if (member.feeds.takes_news(member_address(to), connection.unsent) && !lost) {
+      if (member.feeds.accepts_update(member_address(to), connection.unsent) && !lost) {
         connection.send(bytes, peer_update);
         sent_bytes_ += bytes;
       }
@@ -90,11 +90,11 @@
     }
     for (size_t to = 0; to < kMembers; ++to) {
       Connection& connection = member.connections[to];
-      if (member.feeds.whole_due(member_address(to), connection.unsent, now_)) {
-        const fleet::PeerNews full_state = member.soft_state.full_state_for_peer(1, false, {}, now_);
+      if (member.feeds.full_state_due(member_address(to), connection.unsent, now_)) {
+        const fleet::PeerUpdate full_state = member.soft_state.full_state_for_peer(1, false, {}, now_);
         full_state_bytes_ = wire::make_frame(full_state).bytes.size();
         connection.send(full_state_bytes_, full_state);
-        member.feeds.on_whole_sent(member_address(to), full_state_bytes_, now_);
+        member.feeds.on_full_state_sent(member_address(to), full_state_bytes_, now_);
         sent_bytes_ += full_state_bytes_;
         ++full_states_sent_;
       }
@@ -151,7 +151,7 @@
   for (size_t i = 0; i < kStepsPerHeartbeat + 4; ++i) {
     run(1);
     for (size_t router = 0; router < kRouters; ++router) {
-      fleet::FleetNews message;
+      fleet::FleetFeedUpdate message;
       do {
         message = members_[router % kMembers]->soft_state.next_feed_message(routers[router], now_);
         records_received[router] += message.backends.size();
--- a/tests/unit/load_admission_test.cc
+++ b/tests/unit/load_admission_test.cc
@@ -50,7 +50,7 @@
 class Replay {
  public:
   Replay(size_t engines, std::vector<RequestKind> kinds, uint64_t seed, size_t routers = 1,
-         LoadLimits limits = {})
+         AdmissionThresholds limits = {})
       : kinds_(std::move(kinds)), random_(seed), limits_(limits), routers_(routers) {
     for (size_t engine = 0; engine < engines; ++engine) {
       engines_.emplace_back(kSlots, kTokensPerMs);
@@ -148,14 +148,14 @@
       taken += queue.own_outstanding + queue.others_outstanding;
       if (from_ms(forecast.wait_ms()) < best.wait) {
         best.wait = from_ms(forecast.wait_ms());
-        best.answer = from_ms(forecast.reading_ms + forecast.base_ms);
+        best.answer = from_ms(forecast.prefill_ms + forecast.base_ms);
       }
     }
     best.long_answer = from_ms(speed_.long_answer_ms());
     best.taken_share = taken / static_cast<double>(kSlots * engines_.size());
     return best;
   }
-  Verdict ask(Router& router, const HeldRequest& request) {
+  AdmissionVerdict ask(Router& router, const HeldRequest& request) {
     return decide(request.times, outlook(router, request.tokens), limits_, now());
   }
   void arrive(Router& router, size_t kind) {
@@ -164,11 +164,11 @@
     request->kind = kind;
     request->times = {now(), now() + kinds_[kind].deadline};
     request->tokens = std::min(random_.exponential(kinds_[kind].tokens), 10 * kinds_[kind].tokens);
-    speed_.note_answer(speed_.idle_ms(static_cast<uint64_t>(request->tokens)));
-    const Verdict verdict = ask(router, *request);
-    if (verdict == Verdict::kRefuse) {
+    speed_.record_expected_answer(speed_.idle_ms(static_cast<uint64_t>(request->tokens)));
+    const AdmissionVerdict verdict = ask(router, *request);
+    if (verdict == AdmissionVerdict::kRefuse) {
       refuse(router, *request);
-    } else if (verdict == Verdict::kSend && router.queue.nothing_before(kinds_[kind].urgency)) {
+    } else if (verdict == AdmissionVerdict::kSend && router.queue.none_as_urgent(kinds_[kind].urgency)) {
       send(router, *request);
     } else {
       hold(router, request);
@@ -178,7 +178,9 @@
     const RequestKind& kind = kinds_[request->kind];
     const QueuedRequest queued{kind.tenant, kind.urgency, request->times.deadline,
                                kind.answer_ms + request->tokens / kTokensPerMs};
-    const auto has_room = [this, &router, request] { return ask(router, *request) == Verdict::kSend; };
+    const auto has_room = [this, &router, request] {
+      return ask(router, *request) == AdmissionVerdict::kSend;
+    };
     const auto leave = [this, &router, request] {
       router.waiting.erase(request->number);
       send(router, *request);
@@ -193,7 +195,8 @@
       if (now() >= wait_limit(request->times, limits_)) {
         router.queue.leave(number);
         router.waiting.erase(number);
-        ask(router, *request) == Verdict::kRefuse ? refuse(router, *request) : send(router, *request);
+        ask(router, *request) == AdmissionVerdict::kRefuse ? refuse(router, *request)
+                                                           : send(router, *request);
       }
     }
   }
@@ -225,7 +228,7 @@
 
   std::vector<RequestKind> kinds_;
   Random random_;
-  LoadLimits limits_;
+  AdmissionThresholds limits_;
   double now_ms_ = 0;
   std::vector<FakeEngine> engines_;
   placement::ServiceSpeed speed_;
@@ -254,7 +257,7 @@
   for (const Outcome& served : all) {
     EXPECT_GE(served.answered + served.refused + static_cast<int>(replay.still_waiting()),
               served.asked * 0.97);
-    EXPECT_LE(served.max_hold, LoadLimits{}.max_router_wait + 1ms);
+    EXPECT_LE(served.max_hold, AdmissionThresholds{}.max_router_wait + 1ms);
     EXPECT_EQ(served.refused_early, 0);
     EXPECT_GT(served.answered, served.asked * 0.4);
   }
@@ -265,8 +268,8 @@
 /// Forty routers, none of which knows what the others have just sent, at the full capacity of twelve engines.
 TEST(LoadReplay, WaitingCostsNothingWhenRoutersHaveStaleLoads) {
   const std::vector<RequestKind> kinds = {{"t1", 0, 28, 3720, 250}, {"t2", 1, 672, 291, 250}};
-  LoadLimits never_wait;
-  never_wait.useful_queue = Duration::max();
+  AdmissionThresholds never_wait;
+  never_wait.max_useful_engine_queue = Duration::max();
   const auto sent = Replay(12, kinds, 2, 40, never_wait).play(10000);
   const auto waited = Replay(12, kinds, 2, 40).play(10000);
   for (size_t kind = 0; kind < kinds.size(); ++kind) {
@@ -290,20 +293,20 @@
 
 TEST(LoadAdmission, RefusesOnlyRequestsThatWouldMissTheirDeadline) {
   const RequestTimes request{TimePoint(0), kDeadline};
-  const LoadLimits limits;
-  EXPECT_EQ(decide(request, {3s, 900ms, 50ms, 2.0}, limits, 10ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {3s, 1100ms, 50ms, 2.0}, limits, 10ms), Verdict::kRefuse);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 380ms, 2.0}, limits, 10ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 2.0}, limits, 10ms), Verdict::kRefuse);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 0.49}, limits, 10ms), Verdict::kSend);
-  EXPECT_EQ(decide(request, {150ms, 250ms, 50ms, 2.0}, limits, 10ms), Verdict::kSend);
+  const AdmissionThresholds limits;
+  EXPECT_EQ(decide(request, {3s, 900ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {3s, 1100ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kRefuse);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 380ms, 2.0}, limits, 10ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 2.0}, limits, 10ms), AdmissionVerdict::kRefuse);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 0.49}, limits, 10ms), AdmissionVerdict::kSend);
+  EXPECT_EQ(decide(request, {150ms, 250ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kSend);
 }
 
 TEST(LoadAdmission, HoldsRequestsForAtMostOneReportInterval) {
   const RequestTimes request{TimePoint(0), kDeadline};
-  const LoadLimits limits;
-  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 99ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 100ms), Verdict::kSend);
+  const AdmissionThresholds limits;
+  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 99ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 100ms), AdmissionVerdict::kSend);
   EXPECT_EQ(wait_limit({TimePoint(0), 60ms}, limits), TimePoint(60ms))
       << "a request never waits beyond its deadline";
 }
@@ -334,17 +337,17 @@
   push("idle-tenant", {"b", 3, 1s, 10});
   push("urgent-late", {"a", 0, 9s, 1000});
   push("urgent-soon", {"a", 0, 2s, 1000});
-  EXPECT_FALSE(queue_.nothing_before(3));
+  EXPECT_FALSE(queue_.none_as_urgent(3));
   EXPECT_EQ(send(1), "urgent-soon ");
   push("urgent-new", {"a", 0, 1s, 1000});
   EXPECT_EQ(send(3), "urgent-new urgent-late idle-tenant ");
-  EXPECT_TRUE(queue_.nothing_before(9));
+  EXPECT_TRUE(queue_.none_as_urgent(9));
 }
 
 TEST_F(RequestQueueTest, LessUrgentWaitingRequestsDoNotBlockANewRequest) {
   push("low", {"a", 4, 1s, 10});
-  EXPECT_TRUE(queue_.nothing_before(3));
-  EXPECT_FALSE(queue_.nothing_before(4));
+  EXPECT_TRUE(queue_.none_as_urgent(3));
+  EXPECT_FALSE(queue_.none_as_urgent(4));
 }
 
 TEST_F(RequestQueueTest, TenantsShareBySlotTimeNotByRequestCount) {
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -1,7 +1,7 @@
 /// Quotas at a router and at its control-plane member, using the real messages.
 #include <gtest/gtest.h>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
@@ -65,16 +65,16 @@
   return tenant;
 }
 
-TEST(QuotaGate, RequestThatDidNotRunIsRefunded) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, RequestThatDidNotRunIsRefunded) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   EXPECT_TRUE(gate.admit("t", 300, TimePoint(1s)).admitted);
   gate.give_back("t", 300, TimePoint(1s));
-  EXPECT_TRUE(gate.take_untold().spending.empty());
+  EXPECT_TRUE(gate.take_unreported().spending.empty());
 }
 
-TEST(QuotaGate, LevelIsValidWhileAnyUpdatesArrive) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, LevelIsValidWhileAnyUpdatesArrive) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   gate.on_level({"t", -5, true});
   gate.on_news(1s);
@@ -84,23 +84,23 @@
       << "without the control plane, a router may spend its share of the rate";
 }
 
-TEST(QuotaGate, ReportsUnconfirmedSpendingToNextMember) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, ReportsUnconfirmedSpendingToNextMember) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   gate.admit("t", 100, TimePoint(1s));
-  const auto first = gate.take_untold();
+  const auto first = gate.take_unreported();
   gate.admit("t", 30, TimePoint(1s));
-  gate.take_untold();
+  gate.take_unreported();
   gate.confirm(first.number);
-  gate.begin_feed();
-  const auto again = gate.take_untold();
+  gate.on_member_change();
+  const auto again = gate.take_unreported();
   ASSERT_EQ(again.spending.size(), 1U);
   EXPECT_EQ(again.spending.front().amount, 30);
 }
 
-TEST(QuotaBook, MemberThatMissedAMessageIsCorrectAfterTheNext) {
-  admission::QuotaBook first({}, 1, TimePoint(0));
-  admission::QuotaBook second({}, 2, TimePoint(0));
+TEST(QuotaLedger, MemberThatMissedAMessageIsCorrectAfterTheNext) {
+  admission::QuotaLedger first({}, 1, TimePoint(0));
+  admission::QuotaLedger second({}, 2, TimePoint(0));
   const TimePoint now = 20s;
   for (auto* book : {&first, &second}) {
     book->configure({limited_tenant()}, now);
@@ -113,7 +113,7 @@
   EXPECT_EQ(second.windows(now).front().bucket, 400);
 }
 
-/// A QuotaBook with one tenant that has spent evenly at its rate of 1,000 per second for ten seconds.
+/// A QuotaLedger with one tenant that has spent evenly at its rate of 1,000 per second for ten seconds.
 class LowerQuotaTest : public testing::Test {
  protected:
   LowerQuotaTest() : book_(tolerance(), 1, TimePoint(0)) {
@@ -147,7 +147,7 @@
   }
 
   static constexpr TimePoint kChangeTime = 20s;
-  admission::QuotaBook book_;
+  admission::QuotaLedger book_;
   TimePoint now_{0};
 };
 
--- a/tests/unit/region_placement_test.cc
+++ b/tests/unit/region_placement_test.cc
@@ -1,8 +1,8 @@
 /// Placement across regions: KV cache transfers, home engines of prompts, and calls without a prompt.
 #include <gtest/gtest.h>
 
-#include "src/placement/part_placement.h"
-#include "src/placement/plain_placement.h"
+#include "src/placement/nearest_placement.h"
+#include "src/placement/prompt_placement.h"
 
 namespace stoat::placement {
 namespace {
@@ -20,7 +20,7 @@
 }
 
 TEST(TransferCostsTest, TransferTimeDoublesAcrossZonesAndIsTenfoldAcrossRegions) {
-  const TransferCosts costs = move_costs(large_model_profile(), nullptr);
+  const TransferCosts costs = make_transfer_costs(large_model_profile(), nullptr);
   constexpr double kSameZoneMs = 47.7;  // 10,000 tokens of 327,680 bytes over 550 Gbit/s
   EXPECT_NEAR(costs.engine_transfer_ms(10000, Distance::kSameZone), costs.setup_ms + kSameZoneMs, 0.1);
   EXPECT_NEAR(costs.engine_transfer_ms(10000, Distance::kSameRegion), costs.setup_ms + 2 * kSameZoneMs, 0.1);
@@ -29,7 +29,7 @@
 }
 
 TEST(TransferCostsTest, ComputingIsFasterThanTransferAcrossRegions) {
-  const TransferCosts costs = move_costs(large_model_profile(), nullptr);
+  const TransferCosts costs = make_transfer_costs(large_model_profile(), nullptr);
   constexpr double kPrefillMsPerToken = 0.02;
   EXPECT_TRUE(costs.engine_transfer_pays(10000, Distance::kSameRegion, kPrefillMsPerToken));
   EXPECT_FALSE(costs.engine_transfer_pays(10000, Distance::kOtherRegion, kPrefillMsPerToken));
@@ -40,14 +40,14 @@
 TEST(TransferCostsTest, StoreTransfersUseTheStoresLink) {
   fleet::Service store;
   store.store_link_mbps = 950000;
-  const TransferCosts costs = move_costs(large_model_profile(), &store);
+  const TransferCosts costs = make_transfer_costs(large_model_profile(), &store);
   constexpr double kPrefillMsPerToken = 0.02;
   EXPECT_TRUE(costs.store_transfer_pays(10000, Distance::kSameRegion, kPrefillMsPerToken));
   EXPECT_FALSE(costs.store_transfer_pays(10000, Distance::kOtherRegion, kPrefillMsPerToken));
 }
 
 TEST(TransferCostsTest, UnknownLinksAreAssumedWorthwhile) {
-  const TransferCosts costs = move_costs({}, nullptr);
+  const TransferCosts costs = make_transfer_costs({}, nullptr);
   EXPECT_DOUBLE_EQ(costs.ms_per_token, TransferCosts{}.ms_per_token);
   EXPECT_TRUE(costs.engine_transfer_pays(10000, Distance::kOtherRegion, 0.02));
   EXPECT_TRUE(costs.store_transfer_pays(10000, Distance::kOtherRegion, 0.02));
@@ -69,7 +69,7 @@
       engine.place = {position / 2 + 1, position / 4 + 1};
       engine.distance = topology::distance(engines_[0].place, engine.place);
     }
-    costs_.moves = move_costs(large_model_profile(), nullptr);
+    costs_.moves = make_transfer_costs(large_model_profile(), nullptr);
   }
   static bool in_router_region(size_t position) { return position < kEngines / 2; }
   static PromptChain prompt(uint64_t part, uint32_t shared, uint32_t own) {
@@ -92,7 +92,7 @@
     return part;
   }
 
-  std::vector<ChainMemory> memories_;
+  std::vector<KvCacheEstimate> memories_;
   std::vector<EngineView> engines_;
   PlacementCosts costs_;
 };
@@ -147,15 +147,15 @@
   make_only_candidate(0);
   fleet::Service service;
   service.store_link_mbps = 950000;
-  costs_.moves = move_costs(large_model_profile(), &service);
-  ChainMemory held;
+  costs_.moves = make_transfer_costs(large_model_profile(), &service);
+  KvCacheEstimate held;
   held.note_held({1}, kWeights, 1s);
   const StoreView far{&held, engines_[6].place};
   const StoreView close{&held, engines_[3].place};
   const PromptChain chain = prompt(1, 13000, 500);
-  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).store_pays);
+  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).worth_taking_from_store);
   EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).from_store);
-  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).store_pays);
+  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).worth_taking_from_store);
   EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).from_store);
 }
 
@@ -185,8 +185,8 @@
   EXPECT_FALSE(in_router_region(place(prompt(1, 13000, 500)).target));
 }
 
-TEST(WorkTimeTest, FollowsObservedDurations) {
-  WorkTime work;
+TEST(CallDurationTest, FollowsObservedDurations) {
+  CallDuration work;
   for (int answer = 0; answer < 200; ++answer) {
     work.observe(200);
   }
--- a/tests/unit/return_schedule_test.cc
+++ b/tests/unit/retry_scheduler_test.cc
@@ -1,6 +1,6 @@
 /// When refused callers are asked to retry: the rate, the order by deadline, and callers that ignore the
 /// delay.
-#include "src/admission/return_schedule.h"
+#include "src/admission/retry_scheduler.h"
 
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 
 constexpr Duration kMaxDelay = 10s;
 
-TEST(ReturnSchedule, CallersRetryAtTheRateThatCanBeServed) {
-  ReturnSchedule schedule(kMaxDelay);
+TEST(RetryScheduler, CallersRetryAtTheRateThatCanBeServed) {
+  RetryScheduler schedule(kMaxDelay);
   Random random(1);
   constexpr double kPerSecond = 20;
   std::vector<int> returns(12);
@@ -28,8 +28,8 @@
   }
 }
 
-TEST(ReturnSchedule, LessTimeLeftMeansAnEarlierRetry) {
-  ReturnSchedule schedule(kMaxDelay);
+TEST(RetryScheduler, LessTimeLeftMeansAnEarlierRetry) {
+  RetryScheduler schedule(kMaxDelay);
   Random random(2);
   double short_deadline = 0;
   double long_deadline = 0;
@@ -41,8 +41,8 @@
   EXPECT_LT(short_deadline * 2, long_deadline);
 }
 
-TEST(ReturnSchedule, QueueDrainsAsTimePasses) {
-  ReturnSchedule schedule(kMaxDelay);
+TEST(RetryScheduler, QueueDrainsAsTimePasses) {
+  RetryScheduler schedule(kMaxDelay);
   Random random(3);
   for (int caller = 0; caller < 50; ++caller) {
     schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(0));
@@ -51,8 +51,8 @@
   EXPECT_LT(schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(6s)), 200ms);
 }
 
-TEST(ReturnSchedule, DelayNeverExceedsTheMaximum) {
-  ReturnSchedule schedule(kMaxDelay);
+TEST(RetryScheduler, DelayNeverExceedsTheMaximum) {
+  RetryScheduler schedule(kMaxDelay);
   Random random(4);
   for (int caller = 0; caller < 5000; ++caller) {
     EXPECT_LE(schedule.book({"t", 6s, 20s}, 0, random, TimePoint(0)), kMaxDelay);
@@ -115,7 +115,7 @@
   }
 
   bool ignore_delay_;
-  ReturnSchedule schedule_{kMaxDelay};
+  RetryScheduler schedule_{kMaxDelay};
   Random random_{5};
   std::priority_queue<Attempt, std::vector<Attempt>, std::greater<>> attempts_;
   double capacity_ = 0;
@@ -124,7 +124,7 @@
   int served_ = 0;
 };
 
-TEST(ReturnSchedule, CallersThatRetryAtOnceDoNotStarveOthers) {
+TEST(RetryScheduler, CallersThatRetryAtOnceDoNotStarveOthers) {
   const double without = RetrySimulation(false).run();
   const double with_ignored_delay = RetrySimulation(true).run();
   EXPECT_GT(with_ignored_delay, 0.9 * without) << without;
--- a/tests/unit/router_directory_test.cc
+++ b/tests/unit/router_directory_test.cc
@@ -52,11 +52,11 @@
 
 TEST_F(TwoRegionsTest, CallersGetRoutersOfTheirZoneAndAFewOfTheRegion) {
   for (const auto& [zone, count] : sizes_) {
-    const Routers selected = directory_.for_callers(zone, kLimit, 2s);
+    const Routers selected = directory_.select_for_callers(zone, kLimit, 2s);
     EXPECT_EQ(count_in(selected, topology::Distance::kOtherRegion, zone), 0U) << zone;
     EXPECT_GE(count_in(selected, topology::Distance::kSameRegion, zone), kMinReserveRouters) << zone;
     EXPECT_LE(count_in(selected, topology::Distance::kSameRegion, zone), kMinReserveRouters + 1) << zone;
-    EXPECT_EQ(selected, directory_.for_callers(zone, kLimit, 3s))
+    EXPECT_EQ(selected, directory_.select_for_callers(zone, kLimit, 3s))
         << "callers leave a router that is no longer listed";
   }
 }
@@ -64,7 +64,7 @@
 TEST_F(TwoRegionsTest, EachRouterServesOneZoneAndZonesHaveEquallyMany) {
   std::set<std::string> seen;
   for (const auto& [zone, count] : sizes_) {
-    const Routers selected = directory_.for_callers(zone, kLimit, 2s);
+    const Routers selected = directory_.select_for_callers(zone, kLimit, 2s);
     EXPECT_GE(selected.size(), 9U) << zone;
     EXPECT_LE(selected.size(), 10U) << zone;
     for (const fleet::RouterRecord& router : selected) {
@@ -75,36 +75,37 @@
 }
 
 TEST_F(TwoRegionsTest, CallersOfALostZoneReachOthersAtOnceAndThenAllOfTheRegion) {
-  const Routers before = directory_.for_callers("s-a", kLimit, 1s);
+  const Routers before = directory_.select_for_callers("s-a", kLimit, 1s);
   EXPECT_GE(before.size() - count_in(before, topology::Distance::kSameZone, "s-a"), kMinReserveRouters);
   report_all_except({"s-a"}, 3400ms);
-  const Routers after = directory_.for_callers("s-a", kLimit, 3600ms);
+  const Routers after = directory_.select_for_callers("s-a", kLimit, 3600ms);
   EXPECT_EQ(after.size(), 18U);  // all remaining routers of the region
   EXPECT_EQ(count_in(after, topology::Distance::kOtherRegion, "s-a"), 0U);
   // Callers in the other region keep their routers.
-  EXPECT_EQ(directory_.for_callers("c-a", kLimit, 3600ms), directory_.for_callers("c-a", kLimit, 1s));
+  EXPECT_EQ(directory_.select_for_callers("c-a", kLimit, 3600ms),
+            directory_.select_for_callers("c-a", kLimit, 1s));
 }
 
 TEST_F(TwoRegionsTest, OtherRegionIsUsedOnlyWhenTheOwnHasNoRouter) {
   report_all_except({"s-a", "s-b", "s-c"}, 3400ms);
   report_status("s-c", 3, true, 3400ms);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3600ms).size(), 1U);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3600ms).size(), 1U);
   report_status("s-c", 3, false, 3400ms);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3600ms).size(), 30U);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3600ms).size(), 30U);
 }
 
 TEST_F(TwoRegionsTest, RestartOfARouterMovesNoOthers) {
-  const Routers before = directory_.for_callers("s-a", kLimit, 1s);
+  const Routers before = directory_.select_for_callers("s-a", kLimit, 1s);
   directory_.forget(before.front().name);
   Routers remaining(before.begin() + 1, before.end());
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 2s), remaining);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 2s), remaining);
   directory_.on_status(before.front(), 3s);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3s), before);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3s), before);
 }
 
 TEST_F(TwoRegionsTest, CallersOfAnUnknownZoneGetAllRouters) {
-  EXPECT_EQ(directory_.for_callers("elsewhere", kLimit, 2s).size(), 58U);
-  EXPECT_EQ(directory_.for_callers("", kLimit, 2s).size(), 58U);
+  EXPECT_EQ(directory_.select_for_callers("elsewhere", kLimit, 2s).size(), 58U);
+  EXPECT_EQ(directory_.select_for_callers("", kLimit, 2s).size(), 58U);
 }
 
 TEST(RouterDirectoryTest, CallersGetAllRoutersWhenAZoneHasFew) {
@@ -112,7 +113,7 @@
   for (const char* name : {"a1", "a2", "a3", "b1", "b2", "c1", "c2"}) {
     directory.on_status({name, std::string(name) + ":80", std::string(1, name[0]), "r", true}, 1s);
   }
-  EXPECT_EQ(directory.for_callers("a", kLimit, 2s).size(), 7U);
+  EXPECT_EQ(directory.select_for_callers("a", kLimit, 2s).size(), 7U);
 }
 
 TEST(RouterDirectoryTest, LargeRegionUsesAllRoutersAndKeepsMostCallersInTheirZone) {
@@ -124,8 +125,8 @@
   std::map<std::string, int> seen;
   for (int number = 0; number < 5; ++number) {
     const std::string zone = "z" + std::to_string(number);
-    const Routers selected = directory.for_callers(zone, kLimit, 1s);
-    EXPECT_EQ(selected, directory.for_callers(zone, kLimit, 2s));
+    const Routers selected = directory.select_for_callers(zone, kLimit, 1s);
+    EXPECT_EQ(selected, directory.select_for_callers(zone, kLimit, 2s));
     EXPECT_EQ(selected.size(), 60U);
     size_t own_zone_count = 0;
     for (const fleet::RouterRecord& router : selected) {
@@ -143,7 +144,7 @@
     const std::string name = "r" + std::to_string(number);
     directory.on_status({name, name + ":80", "z" + std::to_string(number % 2), "r", true}, 1s);
   }
-  const Routers selected = directory.for_callers("z1", kLimit, 1s);
+  const Routers selected = directory.select_for_callers("z1", kLimit, 1s);
   EXPECT_EQ(selected.size(), kLimit);
   EXPECT_TRUE(
       std::all_of(selected.begin(), selected.end(), [](const auto& router) { return router.zone == "z1"; }));
--- a/tests/unit/state_machine_test.cc
+++ b/tests/unit/state_machine_test.cc
@@ -26,7 +26,7 @@
   StateMachine second;
   for (StateMachine* state : {&first, &second}) {
     state->apply(make_put(1, "one"));
-    state->apply(fleet::NameWeights{"m", 4});
+    state->apply(fleet::SetTargetWeights{"m", 4});
     state->apply(fleet::RetireBackend{"b", fleet::BackendState::kDraining});
   }
   EXPECT_EQ(first.save(), second.save());
@@ -35,7 +35,7 @@
 TEST(StateMachine, SnapshotRestoresTheWholeState) {
   StateMachine state;
   state.apply(make_put(3, "three"));
-  state.apply(fleet::NameWeights{"m", 4});
+  state.apply(fleet::SetTargetWeights{"m", 4});
   state.apply(fleet::RetireBackend{"b", fleet::BackendState::kGone});
   StateMachine restored;
   ASSERT_TRUE(restored.load(state.save()));
--- a/tests/unit/weight_rollout_test.cc
+++ b/tests/unit/weight_rollout_test.cc
@@ -29,7 +29,7 @@
 }
 
 /// Records versions as named now, unless they are known.
-void record_versions(fleet::NamedWeights& named, const std::map<std::string, uint64_t>& weights,
+void record_versions(fleet::TargetWeights& named, const std::map<std::string, uint64_t>& weights,
                      TimePoint now) {
   for (const auto& [model, version] : weights) {
     named[model].note(version, now);
@@ -44,7 +44,7 @@
   }
   std::vector<fleet::BackendRecord> engines_;
   std::map<std::string, uint64_t> weights_ = {{"m", 2}};
-  fleet::NamedWeights named_;
+  fleet::TargetWeights named_;
   WeightRollout rollout_{RolloutOptions{}};
 };
 
@@ -125,7 +125,7 @@
   RolloutOptions options;
   options.start_delay = 2s;
   const std::vector<fleet::BackendRecord> engines = {engine("a", 1)};
-  fleet::NamedWeights named;
+  fleet::TargetWeights named;
   record_versions(named, {{"m", 2}}, 5s);
   WeightRollout new_leader(options);
   EXPECT_EQ(engine_ids(new_leader.plan(engines, named, 8s), Kind::kAnnounce).size(), 1U);
@@ -136,7 +136,7 @@
   options.start_delay = 2s;
   WeightRollout rollout(options);
   const std::vector<fleet::BackendRecord> engines = {engine("a", 1)};
-  fleet::NamedWeights named;
+  fleet::TargetWeights named;
   const auto plan = [&](uint64_t version, TimePoint now) {
     record_versions(named, {{"m", version}}, now);
     return rollout.plan(engines, named, now);
