--- a/src/common/log.h
+++ b/src/common/log.h
@@ -19,10 +19,10 @@
   void warning(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
   void error(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
 
-  /// Writes a typed event, a struct with `kSentence` and `fields()`, at level info.
+  /// Writes a typed event, a struct with `kMessage` and `fields()`, at level info.
   template <typename Event>
   void event(const Event& typed_event) const {
-    write(log_now(), Event::kSentence, typed_event.fields());
+    write(log_now(), Event::kMessage, typed_event.fields());
   }
   /// Writes a line at level info with the given time instead of the current time.
   void write(LogTime time, std::string_view sentence, std::vector<LogField> fields) const;
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -58,7 +58,7 @@
     }
     channel->send_frame(full_state);
     peer_feeds_.on_full_state_sent(address, full_state.bytes.size(), now);
-    log_.event(events::WholeSent{address, full_state.bytes.size()});
+    log_.event(events::FullStateSent{address, full_state.bytes.size()});
   }
 }
 
@@ -168,7 +168,7 @@
   const std::vector<fleet::CacheChanges> changes = cache_watch_.take_changes();
   for (const fleet::CacheChanges& change : changes) {
     if (change.anew || !change.followed) {
-      log_.event(events::CacheFollowed{change.holder, change.followed});
+      log_.event(events::CacheSubscriptionChanged{change.holder, change.followed});
     }
   }
   soft_state_.on_cache_changes(changes);
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -88,8 +88,8 @@
   metrics_.set("stoat_control_followed_caches", static_cast<double>(cache_watch_.size()));
   metrics_.set("stoat_control_metered_tenants", static_cast<double>(soft_state_.quotas().metered()));
   for (const fleet::QuotaLevel& change : soft_state_.take_quota_changes()) {
-    log_.event(events::TenantMetered{change.tenant, change.metered, change.level,
-                                     soft_state_.quotas().unheard_share()});
+    log_.event(events::TenantMeteringChanged{change.tenant, change.metered, change.level,
+                                             soft_state_.quotas().unheard_share()});
   }
   traffic_->publish(metrics_, "stoat_control_sent_bytes_total");
   log_registry_changes();
@@ -314,7 +314,7 @@
     if (named_weights_[model].newest() < version) {
       named_weights_[model].note(version, loop_.now());
       ++named_weights_revision_;
-      log_.event(events::WeightsNamed{model, version, 0});
+      log_.event(events::TargetWeightsChanged{model, version, 0});
     }
   }
 }
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -61,31 +61,31 @@
 
 const std::map<std::string, LineDescriber>& describers() {
   static const std::map<std::string, LineDescriber> describer_of = {
-      {events::RequestAccepted::kSentence,
+      {events::RequestAccepted::kMessage,
        [](const LogLine& line) {
          return "came in on route " + line.field("route") + " for service " + line.field("service") +
                 " under configuration " + line.field("version") + ", with " + line.field("time_left_ms") +
                 " ms";
        }},
-      {events::RequestWaits::kSentence, describe_wait},
-      {events::RequestSent::kSentence, describe_send},
-      {events::RequestNotRun::kSentence, describe_not_run},
-      {events::ExchangeFailed::kSentence, describe_failure},
-      {events::RequestHeldBack::kSentence,
+      {events::RequestWaitingForBackend::kMessage, describe_wait},
+      {events::RequestSent::kMessage, describe_send},
+      {events::RequestNotRun::kMessage, describe_not_run},
+      {events::ExchangeFailed::kMessage, describe_failure},
+      {events::RequestQuarantined::kMessage,
        [](const LogLine& line) {
          return "not sent: " + line.field("crashes") +
                 " back ends crashed under requests like it (fingerprint " + line.field("fingerprint") +
                 "), so none is for " + line.field("left_ms") + " ms";
        }},
-      {events::NotSentAgain::kSentence,
+      {events::RequestNotRetried::kMessage,
        [](const LogLine& line) { return "not sent again: " + line.field("reason"); }},
-      {events::CopyNotUsed::kSentence,
+      {events::KvCacheCopyNotUsed::kMessage,
        [](const LogLine& line) {
          return "did not go on from the copy of its run at " + line.field("backend") + ": " +
                 line.field("reason");
        }},
-      {events::RequestEnded::kSentence, describe_end},
-      {events::RequestTurnedAway::kSentence,
+      {events::RequestEnded::kMessage, describe_end},
+      {events::RequestRejected::kMessage,
        [](const LogLine& line) {
          return "turned away with " + line.field("status") + ": " + line.field("reason") +
                 " (configuration " + line.field("version") + ", key lease " + line.field("keys_left_ms") +
@@ -96,19 +96,19 @@
 }
 
 bool is_fleet_event(const LogLine& line) {
-  static const std::vector<std::string> fleet_events = {events::ConfigurationInForce::kSentence,
-                                                        events::WeightsNamed::kSentence,
-                                                        events::BackendChanged::kSentence,
-                                                        events::BackendLimitChanged::kSentence,
-                                                        events::BackendCrashed::kSentence,
-                                                        events::RequestStandingChanged::kSentence,
-                                                        events::KeyLeaseChanged::kSentence,
-                                                        events::ControlMemberChanged::kSentence,
-                                                        events::LeaderChanged::kSentence,
-                                                        events::StoreChanged::kSentence,
-                                                        events::CacheFollowed::kSentence,
-                                                        events::RouterChanged::kSentence,
-                                                        events::MembersChanged::kSentence,
+  static const std::vector<std::string> fleet_events = {events::ConfigurationInForce::kMessage,
+                                                        events::TargetWeightsChanged::kMessage,
+                                                        events::BackendChanged::kMessage,
+                                                        events::BackendLimitChanged::kMessage,
+                                                        events::BackendCrashed::kMessage,
+                                                        events::RequestStandingChanged::kMessage,
+                                                        events::KeyLeaseChanged::kMessage,
+                                                        events::ControlMemberChanged::kMessage,
+                                                        events::LeaderChanged::kMessage,
+                                                        events::KvCacheStoreChanged::kMessage,
+                                                        events::CacheSubscriptionChanged::kMessage,
+                                                        events::RouterChanged::kMessage,
+                                                        events::MembersChanged::kMessage,
                                                         "started",
                                                         "stopping",
                                                         "stopped",
@@ -139,17 +139,17 @@
            "never came in.";
   }
   const LogLine& last = request_lines.back().line;
-  if (last.sentence == events::RequestTurnedAway::kSentence) {
+  if (last.sentence == events::RequestRejected::kMessage) {
     return "It was " + describe(last) + ".";
   }
-  if (last.sentence != events::RequestEnded::kSentence) {
+  if (last.sentence != events::RequestEnded::kMessage) {
     return "Its end is not in these logs; the last that is known: " + describe(last) + ".";
   }
   std::string reason;
   for (const LocatedLine& entry : request_lines) {
-    if (entry.line.sentence != events::RequestEnded::kSentence &&
-        entry.line.sentence != events::RequestAccepted::kSentence &&
-        entry.line.sentence != events::RequestSent::kSentence) {
+    if (entry.line.sentence != events::RequestEnded::kMessage &&
+        entry.line.sentence != events::RequestAccepted::kMessage &&
+        entry.line.sentence != events::RequestSent::kMessage) {
       reason += (reason.empty() ? "" : "; ") + describe(entry.line);
     }
   }
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -47,7 +47,7 @@
 }  // namespace
 
 ActiveRequest::ActiveRequest(DispatchContext& context, RoutedRequest plan,
-                             std::shared_ptr<edge::CallerAnswer> answer, DoneHandler on_done)
+                             std::shared_ptr<edge::ResponseWriter> answer, DoneHandler on_done)
     : context_(context),
       plan_(std::move(plan)),
       answer_(std::move(answer)),
@@ -389,7 +389,7 @@
 bool ActiveRequest::may_retry(bool known_not_executed) {
   const char* reason = retry_denial_reason(known_not_executed);
   if (reason != nullptr) {
-    story_.add(events::NotSentAgain{reason});
+    story_.add(events::RequestNotRetried{reason});
   }
   return reason == nullptr;
 }
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -22,9 +22,9 @@
 #include "src/dispatch/backend_pool.h"
 #include "src/dispatch/request_fields.h"
 #include "src/dispatch/store_set.h"
-#include "src/edge/caller_request.h"
+#include "src/edge/edge_request.h"
+#include "src/events/request_event_log.h"
 #include "src/events/request_events.h"
-#include "src/events/request_story.h"
 #include "src/fleet/fleet_messages.h"
 #include "src/fleet/version_history.h"
 #include "src/placement/cache_namespace.h"
@@ -62,7 +62,7 @@
   const HeaderNames& names;
   BackendPool& pool;
   Metrics& metrics;
-  events::StoryBook& stories;
+  events::RequestLogSampler& stories;
   Random random{0};
   topology::Topology topology = {};
   topology::Location place = {};  ///< location of this router
@@ -113,7 +113,7 @@
 
 /// An accepted request with its resolved route, tenant and service: all that is fixed before it is sent.
 struct RoutedRequest {
-  edge::CallerRequest request;
+  edge::EdgeRequest request;
   RequestFields fields;
   std::shared_ptr<const routing::RouteTable> table;  ///< keeps route and tenant alive
   const fleet::Route* route = nullptr;
@@ -155,7 +155,7 @@
 class ActiveRequest : public ExchangeListener, public std::enable_shared_from_this<ActiveRequest> {
  public:
   using DoneHandler = std::function<void(ActiveRequest*)>;
-  ActiveRequest(DispatchContext& context, RoutedRequest plan, std::shared_ptr<edge::CallerAnswer> answer,
+  ActiveRequest(DispatchContext& context, RoutedRequest plan, std::shared_ptr<edge::ResponseWriter> answer,
                 DoneHandler on_done);
   ~ActiveRequest() override;
   ActiveRequest(const ActiveRequest&) = delete;
@@ -165,7 +165,7 @@
   /// Ends the request without a response, for instance when the caller has disconnected, and cancels it at
   /// the engine. `reason`: outcome for the log.
   void cancel(const char* reason);
-  const edge::CallerAnswer* answer() const { return answer_.get(); }
+  const edge::ResponseWriter* answer() const { return answer_.get(); }
   /// Probes the back end if it has sent nothing for kSilenceBeforeProbe, and fails the exchange if such a
   /// probe found it unreachable. To be called several times a second.
   void check_silence();
@@ -366,7 +366,7 @@
 
   DispatchContext& context_;
   RoutedRequest plan_;
-  std::shared_ptr<edge::CallerAnswer> answer_;
+  std::shared_ptr<edge::ResponseWriter> answer_;
   DoneHandler on_done_;
   event* timer_ = nullptr;
   TimePoint deadline_{0};       ///< the caller's deadline or the route's time-out
@@ -401,7 +401,7 @@
   TimePoint sent_at_{0};       ///< when the exchange at backend_ began
   std::optional<ExpectedFirstEvent> expected_;  ///< for the last attempt
   ResponseKind kind_ = ResponseKind::kNone;
-  edge::AnswerHead head_;
+  edge::ResponseHead head_;
   std::string body_;
   delivery::EventSplitter splitter_;
   bool trial_permit_used_ = false;        ///< the current attempt used a permit and has not returned it
@@ -411,7 +411,7 @@
   TimePoint first_event_at_{0};
   TimePoint last_event_at_{0};
   Duration longest_pause_{0};
-  events::RequestStory story_;
+  events::RequestEventLog story_;
 };
 
 }  // namespace stoat::dispatch
--- a/src/dispatch/request_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -59,7 +59,7 @@
 }
 
 void ActiveRequest::log_waiting() {
-  events::RequestWaits waits;
+  events::RequestWaitingForBackend waits;
   for (const BackendPtr& backend : ready_in_subset()) {
     ++waits.known;
     waits.tried += tried_.count(backend->record.id) > 0 ? 1 : 0;
--- a/src/dispatch/request_backoff.cc
+++ b/src/dispatch/request_backoff.cc
@@ -25,7 +25,7 @@
   if (!reading.finding.empty()) {
     context_.metrics.count("stoat_router_rests_unreadable_total");
     if (context_.stories.take_lines(1, "rest unreadable", now)) {
-      context_.stories.log().event(events::BackendRestUnreadable{backend, reading.finding});
+      context_.stories.log().event(events::BackendRetryAfterUnreadable{backend, reading.finding});
     }
   }
   if (reading.kind != NumberReading::Kind::kPresent) {
@@ -36,7 +36,7 @@
                           from_seconds(reading.value * kBackoffJitter * context_.random.unit()));
   context_.metrics.count("stoat_router_rests_total");
   if (context_.stories.take_lines(1, "backend rests", now)) {
-    context_.stories.log().event(events::BackendRests{backend, to_milliseconds(delay)});
+    context_.stories.log().event(events::BackendBackoffStarted{backend, to_milliseconds(delay)});
   }
 }
 
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -49,7 +49,7 @@
 }
 
 void ActiveRequest::reply_with_error(int status, const char* reason, double retry_after_s) {
-  edge::AnswerHead head;
+  edge::ResponseHead head;
   head.status = status;
   head.headers.add(context_.names.request_id, plan_.fields.id);
   head.headers.add("Content-Type", "text/plain");
--- a/src/dispatch/request_fingerprint.h
+++ b/src/dispatch/request_fingerprint.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "src/edge/caller_request.h"
+#include "src/edge/edge_request.h"
 
 namespace stoat::dispatch {
 
@@ -13,6 +13,6 @@
 /// query, caller, and body. `caller`: the tenant's name, or the access key on routes without tenants. Other
 /// headers are excluded because ids and deadlines differ between tries. Throws std::runtime_error if hashing
 /// fails to start.
-uint64_t request_fingerprint(const edge::CallerRequest& request, std::string_view caller);
+uint64_t request_fingerprint(const edge::EdgeRequest& request, std::string_view caller);
 
 }  // namespace stoat::dispatch
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -250,7 +250,7 @@
     reason = "no budget for repeats";
   }
   if (reason != nullptr) {
-    story_.add(events::CopyNotUsed{origin.record.id, reason, run_weights_});
+    story_.add(events::KvCacheCopyNotUsed{origin.record.id, reason, run_weights_});
     return false;
   }
   context_.metrics.count("stoat_router_copies_used_total");
--- a/src/edge/client_connection.cc
+++ b/src/edge/client_connection.cc
@@ -246,7 +246,7 @@
     refuse(400, http1::to_text(fault));
     return;
   }
-  request_ = CallerRequest();
+  request_ = EdgeRequest();
   body_too_long_ = false;
   buffer_full_ = false;
   parser_.reset();
@@ -341,7 +341,7 @@
 }
 
 void ClientConnection::refuse(int status, std::string_view reason, const char* retry_after) {
-  AnswerHead head;
+  ResponseHead head;
   head.status = status;
   if (retry_after != nullptr) {
     head.headers.add("Retry-After", retry_after);
@@ -370,7 +370,7 @@
   update_flow_control();
 }
 
-void ClientConnection::write_head(const AnswerHead& head, bool chunked, size_t length) {
+void ClientConnection::write_head(const ResponseHead& head, bool chunked, size_t length) {
   close_after_response_ = close_after_response_ || server_.draining_;
   std::string text = "HTTP/1.1 " + std::to_string(head.status) + " " + reason_phrase(head.status) + "\r\n";
   for (const http1::HeaderLine& line : head.headers.lines()) {
@@ -381,7 +381,7 @@
   write(text);
 }
 
-void ClientConnection::reply(const AnswerHead& head, std::string_view body) {
+void ClientConnection::reply(const ResponseHead& head, std::string_view body) {
   if (phase_ != Phase::kResponse || connection_ == nullptr) {
     return;
   }
@@ -390,7 +390,7 @@
   on_response_written();
 }
 
-void ClientConnection::start(const AnswerHead& head) {
+void ClientConnection::start(const ResponseHead& head) {
   if (phase_ == Phase::kResponse && connection_ != nullptr) {
     write_head(head, true, 0);
   }
--- a/src/edge/client_connection.h
+++ b/src/edge/client_connection.h
@@ -11,7 +11,7 @@
 
 /// A client connection, which is also the response to its current request. Owned by the EdgeServer and by the
 /// holders of that response.
-class ClientConnection : public CallerAnswer,
+class ClientConnection : public ResponseWriter,
                          public http1::MessageSink,
                          public std::enable_shared_from_this<ClientConnection> {
  public:
@@ -20,8 +20,8 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  void reply(const AnswerHead& head, std::string_view body) override;
-  void start(const AnswerHead& head) override;
+  void reply(const ResponseHead& head, std::string_view body) override;
+  void start(const ResponseHead& head) override;
   void send(std::string_view piece) override;
   void finish() override;
   void abort() override;
@@ -53,7 +53,7 @@
   void refuse(int status, std::string_view reason, const char* retry_after = nullptr);
   /// Refuses a request whose body can't be accepted.
   void refuse_body();
-  void write_head(const AnswerHead& head, bool chunked, size_t length);
+  void write_head(const ResponseHead& head, bool chunked, size_t length);
   void write(std::string_view bytes);
   /// Updates the buffered bytes of the response, and starts the stall check when some are left.
   void update_buffered_bytes();
@@ -85,7 +85,7 @@
   bufferevent* connection_ = nullptr;
   event* timer_ = nullptr;
   http1::MessageParser parser_;
-  CallerRequest request_;
+  EdgeRequest request_;
   Phase phase_ = Phase::kIdle;
   bool close_after_response_ = false;  ///< the current response is the connection's last
   bool reading_ = false;  ///< inside read(): a response that is ready at once must not re-enter it
--- a/src/edge/caller_request.h
+++ b/src/edge/edge_request.h
@@ -12,7 +12,7 @@
 namespace stoat::edge {
 
 /// One complete request.
-struct CallerRequest {
+struct EdgeRequest {
   std::string method;
   std::string target;  ///< path and query, byte for byte
   http1::Headers headers;
@@ -20,19 +20,19 @@
 };
 
 /// The head of a response.
-struct AnswerHead {
+struct ResponseHead {
   int status = 200;
   http1::Headers headers;  ///< without framing and connection headers, which the edge sets itself
 };
 
 /// The response to one request. After the client has disconnected, calls have no effect.
-class CallerAnswer {
+class ResponseWriter {
  public:
-  virtual ~CallerAnswer() = default;
+  virtual ~ResponseWriter() = default;
   /// Sends a complete response.
-  virtual void reply(const AnswerHead& head, std::string_view body) = 0;
+  virtual void reply(const ResponseHead& head, std::string_view body) = 0;
   /// Starts a response of unknown length.
-  virtual void start(const AnswerHead& head) = 0;
+  virtual void start(const ResponseHead& head) = 0;
   virtual void send(std::string_view piece) = 0;
   virtual void finish() = 0;
   /// Closes the connection so that a truncated response does not look complete.
@@ -56,9 +56,9 @@
  public:
   virtual ~RequestHandler() = default;
   /// Called once for each complete request.
-  virtual void on_request(CallerRequest request, std::shared_ptr<CallerAnswer> response) = 0;
+  virtual void on_request(EdgeRequest request, std::shared_ptr<ResponseWriter> response) = 0;
   /// Called when the client of an open request has disconnected.
-  virtual void on_disconnect(const CallerAnswer* response, DisconnectReason disconnect_reason) = 0;
+  virtual void on_disconnect(const ResponseWriter* response, DisconnectReason disconnect_reason) = 0;
 };
 
 }  // namespace stoat::edge
--- a/src/edge/edge_server.h
+++ b/src/edge/edge_server.h
@@ -12,7 +12,7 @@
 
 #include "src/common/settings.h"
 #include "src/edge/buffer_budget.h"
-#include "src/edge/caller_request.h"
+#include "src/edge/edge_request.h"
 #include "src/http/event_loop.h"
 
 struct evconnlistener;
--- a/src/events/fleet_events.h
+++ b/src/events/fleet_events.h
@@ -13,7 +13,7 @@
 
 /// A new configuration is in force.
 struct ConfigurationInForce {
-  static constexpr const char* kSentence = "configuration in force";
+  static constexpr const char* kMessage = "configuration in force";
   uint64_t version = 0;
   size_t routes = 0;
   size_t tenants = 0;
@@ -23,8 +23,8 @@
 };
 
 /// A target version of a model's weights was set.
-struct WeightsNamed {
-  static constexpr const char* kSentence = "weights named";
+struct TargetWeightsChanged {
+  static constexpr const char* kMessage = "weights named";
   std::string model;
   uint64_t version = 0;
   int64_t age_ms = 0;  ///< since the version was set, as far as this process knows
@@ -35,7 +35,7 @@
 
 /// A backend appeared, disappeared, or changed.
 struct BackendChanged {
-  static constexpr const char* kSentence = "backend changed";
+  static constexpr const char* kMessage = "backend changed";
   std::string backend;
   std::string service;
   std::string address;
@@ -53,7 +53,7 @@
 /// An overloaded backend set or changed its limit on the requests per second from all routers together, or
 /// removed it.
 struct BackendLimitChanged {
-  static constexpr const char* kSentence = "backend limit changed";
+  static constexpr const char* kMessage = "backend limit changed";
   std::string backend;
   double per_second = 0;    ///< 0: no limit any more
   double before = 0;        ///< 0: no limit before
@@ -65,15 +65,15 @@
 
 /// A backend's limit can't be parsed, or only in part.
 struct BackendLimitUnreadable {
-  static constexpr const char* kSentence = "backend limit unreadable";
+  static constexpr const char* kMessage = "backend limit unreadable";
   std::string backend;
   std::string finding;
   std::vector<LogField> fields() const { return {{"backend", backend}, {"finding", finding}}; }
 };
 
 /// A backend refused a request and asked this router to send nothing for a while.
-struct BackendRests {
-  static constexpr const char* kSentence = "backend rests";
+struct BackendBackoffStarted {
+  static constexpr const char* kMessage = "backend rests";
   std::string backend;
   int64_t backoff_ms = 0;
   std::vector<LogField> fields() const { return {{"backend", backend}, {"rest_ms", backoff_ms}}; }
@@ -81,14 +81,14 @@
 
 /// A backend announced in a response that it is shutting down: this router sends it no further requests.
 struct BackendLeaving {
-  static constexpr const char* kSentence = "backend leaving";
+  static constexpr const char* kMessage = "backend leaving";
   std::string backend;
   std::vector<LogField> fields() const { return {{"backend", backend}}; }
 };
 
 /// The time for which a backend asks for no requests can't be parsed, or only in part.
-struct BackendRestUnreadable {
-  static constexpr const char* kSentence = "backend rest unreadable";
+struct BackendRetryAfterUnreadable {
+  static constexpr const char* kMessage = "backend rest unreadable";
   std::string backend;
   std::string finding;
   std::vector<LogField> fields() const { return {{"backend", backend}, {"finding", finding}}; }
@@ -96,7 +96,7 @@
 
 /// What this router has sent to a limited backend since the previous event of this kind.
 struct LimitedBackendUsed {
-  static constexpr const char* kSentence = "limited backend used";
+  static constexpr const char* kMessage = "limited backend used";
   std::string backend;
   double per_second = 0;  ///< for all routers together
   uint64_t sent = 0;
@@ -108,7 +108,7 @@
 
 /// A backend ended without signing off after requests broke off at it.
 struct BackendCrashed {
-  static constexpr const char* kSentence = "backend crashed";
+  static constexpr const char* kMessage = "backend crashed";
   std::string backend;
   std::string service;
   const char* detected_by = "";  ///< "refused" (connection refused), "gone" or "lost" (reported by control)
@@ -125,7 +125,7 @@
 
 /// The standing of a request under which backends crash has changed.
 struct RequestStandingChanged {
-  static constexpr const char* kSentence = "request standing";
+  static constexpr const char* kMessage = "request standing";
   std::string fingerprint;
   const char* standing = "";  ///< "clear", "suspect" (tried one at a time) or "quarantined" (not sent)
   uint32_t crashes = 0;       ///< crashes that count against the request
@@ -142,7 +142,7 @@
 
 /// Access keys are accepted from now on, or no longer.
 struct KeyLeaseChanged {
-  static constexpr const char* kSentence = "key lease changed";
+  static constexpr const char* kMessage = "key lease changed";
   bool held = false;
   int64_t left_ms = 0;  ///< until the lease ends; negative: the time since it ended
   std::vector<LogField> fields() const { return {{"held", held}, {"left_ms", left_ms}}; }
@@ -150,7 +150,7 @@
 
 /// A control member responds, or has stopped responding.
 struct ControlMemberChanged {
-  static constexpr const char* kSentence = "control member changed";
+  static constexpr const char* kMessage = "control member changed";
   std::string member;
   bool reached = false;
   int64_t time_since_message_ms = 0;
@@ -161,7 +161,7 @@
 
 /// Another control member is the leader.
 struct LeaderChanged {
-  static constexpr const char* kSentence = "leader changed";
+  static constexpr const char* kMessage = "leader changed";
   std::string from;
   std::string to;
   std::vector<LogField> fields() const { return {{"from", from}, {"to", to}}; }
@@ -169,15 +169,15 @@
 
 /// A router takes its feed of the fleet's state from another control member.
 struct FeedChanged {
-  static constexpr const char* kSentence = "feed changed";
+  static constexpr const char* kMessage = "feed changed";
   std::string from;  ///< internal address; empty: none
   std::string to;
   std::vector<LogField> fields() const { return {{"from", from}, {"to", to}}; }
 };
 
 /// The KV cache store responds, or has stopped responding.
-struct StoreChanged {
-  static constexpr const char* kSentence = "store changed";
+struct KvCacheStoreChanged {
+  static constexpr const char* kMessage = "store changed";
   std::string from;  ///< address; empty: none
   std::string to;
   std::vector<LogField> fields() const { return {{"from", from}, {"to", to}}; }
@@ -185,8 +185,8 @@
 
 /// The control plane has subscribed to the events of a cache, starting with its present state, or can't reach
 /// the cache any more.
-struct CacheFollowed {
-  static constexpr const char* kSentence = "cache followed";
+struct CacheSubscriptionChanged {
+  static constexpr const char* kMessage = "cache followed";
   std::string holder;     ///< id of the backend, or address of a store
   bool followed = false;  ///< false: the cache's content is no longer known
   std::vector<LogField> fields() const { return {{"holder", holder}, {"followed", followed}}; }
@@ -195,15 +195,15 @@
 /// Bytes sent by this process to other processes of the system over one distance since the previous event of
 /// this kind.
 struct BytesSent {
-  static constexpr const char* kSentence = "bytes sent";
+  static constexpr const char* kMessage = "bytes sent";
   std::string distance;  ///< "zone", "region" (another zone of it) or "regions" (another region)
   std::string bytes;     ///< by purpose
   std::vector<LogField> fields() const { return {{"distance", distance}, {"bytes", bytes}}; }
 };
 
 /// Another member had missed updates and was sent the full state of which this member is the source.
-struct WholeSent {
-  static constexpr const char* kSentence = "whole sent";
+struct FullStateSent {
+  static constexpr const char* kMessage = "whole sent";
   std::string member;
   size_t bytes = 0;
   std::vector<LogField> fields() const { return {{"member", member}, {"bytes", bytes}}; }
@@ -211,8 +211,8 @@
 
 /// A tenant is close to its quota, so that routers admit only what is left of it, or is no longer close to
 /// it.
-struct TenantMetered {
-  static constexpr const char* kSentence = "tenant metered";
+struct TenantMeteringChanged {
+  static constexpr const char* kMessage = "tenant metered";
   std::string tenant;
   bool metered = false;
   int64_t left = 0;          ///< over all routers, in the quota's unit
@@ -224,7 +224,7 @@
 
 /// A router reports its state for the first time, becomes ready or not ready, or is no longer heard from.
 struct RouterChanged {
-  static constexpr const char* kSentence = "router changed";
+  static constexpr const char* kMessage = "router changed";
   std::string router;
   const char* change = "";
   uint64_t configuration_version = 0;
@@ -235,7 +235,7 @@
 
 /// The list of control members has changed.
 struct MembersChanged {
-  static constexpr const char* kSentence = "members changed";
+  static constexpr const char* kMessage = "members changed";
   size_t voters = 0;
   size_t learners = 0;
   std::string members;  ///< internal addresses; learners in parentheses
@@ -246,7 +246,7 @@
 
 /// Many backends changed in the same way at once: one line in place of one each.
 struct BackendsChanged {
-  static constexpr const char* kSentence = "backends changed";
+  static constexpr const char* kMessage = "backends changed";
   const char* change = "";
   size_t count = 0;
   std::string backends;  ///< the first few
--- a/src/events/request_story.cc
+++ b/src/events/request_event_log.cc
@@ -1,4 +1,4 @@
-#include "src/events/request_story.h"
+#include "src/events/request_event_log.h"
 
 #include <algorithm>
 
@@ -6,11 +6,11 @@
 
 namespace stoat::events {
 
-bool StoryBook::is_sampled(const std::string& request) const {
+bool RequestLogSampler::is_sampled(const std::string& request) const {
   return options_.sample_one_in <= 1 || hash_bytes(request) % options_.sample_one_in == 0;
 }
 
-bool StoryBook::take_lines(size_t lines, const std::string& outcome, TimePoint now) {
+bool RequestLogSampler::take_lines(size_t lines, const std::string& outcome, TimePoint now) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   const double elapsed_s = static_cast<double>((now - refilled_at_).count()) / kMicrosecondsPerSecond;
   available_lines_ =
@@ -28,12 +28,12 @@
   return has_room;
 }
 
-void StoryBook::count_unsampled(const std::string& outcome, TimePoint now) {
+void RequestLogSampler::count_unsampled(const std::string& outcome, TimePoint now) {
   ++left_out_[outcome].not_sampled;
   log_left_out_counts(now);
 }
 
-void StoryBook::log_left_out_counts(TimePoint now) {
+void RequestLogSampler::log_left_out_counts(TimePoint now) {
   if (counts_logged_at_ == TimePoint(0)) {
     counts_logged_at_ = now;
   }
@@ -50,8 +50,8 @@
   counts_logged_at_ = now;
 }
 
-void RequestStory::finish(StoryBook& sampler, bool failed_or_late, const std::string& outcome,
-                          TimePoint now) {
+void RequestEventLog::finish(RequestLogSampler& sampler, bool failed_or_late, const std::string& outcome,
+                             TimePoint now) {
   if (!failed_or_late && !sampler.is_sampled(request_)) {
     sampler.count_unsampled(outcome, now);
     return;
--- a/src/events/request_story.h
+++ b/src/events/request_event_log.h
@@ -24,9 +24,9 @@
 
 /// Decides for one process which requests' events are written. The sample depends on the request's id only,
 /// so all processes choose the same requests.
-class StoryBook {
+class RequestLogSampler {
  public:
-  StoryBook(Logger log, const RequestLogOptions& options) : log_(std::move(log)), options_(options) {}
+  RequestLogSampler(Logger log, const RequestLogOptions& options) : log_(std::move(log)), options_(options) {}
 
   /// Returns true if a request that succeeded in time belongs to the sample.
   bool is_sampled(const std::string& request) const;
@@ -53,17 +53,17 @@
 };
 
 /// The log events of one request.
-class RequestStory {
+class RequestEventLog {
  public:
-  explicit RequestStory(std::string request) : request_(std::move(request)) {}
+  explicit RequestEventLog(std::string request) : request_(std::move(request)) {}
 
   template <typename Event>
   void add(const Event& event) {
-    lines_.push_back({log_now(), Event::kSentence, event.fields()});
+    lines_.push_back({log_now(), Event::kMessage, event.fields()});
   }
   /// Writes the events, unless they are not sampled or over the limit. `failed_or_late`: not subject to
   /// sampling.
-  void finish(StoryBook& sampler, bool failed_or_late, const std::string& outcome, TimePoint now);
+  void finish(RequestLogSampler& sampler, bool failed_or_late, const std::string& outcome, TimePoint now);
 
  private:
   struct Entry {
--- a/src/events/request_events.h
+++ b/src/events/request_events.h
@@ -11,7 +11,7 @@
 
 /// The request arrived and its route and tenant were found.
 struct RequestAccepted {
-  static constexpr const char* kSentence = "request accepted";
+  static constexpr const char* kMessage = "request accepted";
   std::string route;
   std::string service;
   std::string tenant;
@@ -31,8 +31,8 @@
 };
 
 /// No backend can accept the request now; it waits a short time for one.
-struct RequestWaits {
-  static constexpr const char* kSentence = "request waits";
+struct RequestWaitingForBackend {
+  static constexpr const char* kMessage = "request waits";
   uint32_t known = 0;    ///< backends of the service
   uint32_t tried = 0;    ///< of the known ones: have already had this request
   uint32_t loading = 0;  ///< of the known ones: are loading weights
@@ -44,7 +44,7 @@
 
 /// All engines that could serve the request have queues; it waits at the router for a slot.
 struct RequestQueued {
-  static constexpr const char* kSentence = "request waits for a slot";
+  static constexpr const char* kMessage = "request waits for a slot";
   int64_t wait_ms = 0;     ///< expected wait at the engine with the first free slot
   double taken_share = 0;  ///< busy slots divided by all slots
   uint32_t queued = 0;     ///< requests that were waiting before it
@@ -55,7 +55,7 @@
 
 /// The request was sent to a backend.
 struct RequestSent {
-  static constexpr const char* kSentence = "request sent";
+  static constexpr const char* kMessage = "request sent";
   std::string backend;
   uint32_t candidates = 0;
   uint32_t outstanding = 0;     ///< requests in flight there before it
@@ -84,7 +84,7 @@
 
 /// A backend reported that it did not run the request, or no connection was made.
 struct RequestNotRun {
-  static constexpr const char* kSentence = "request not run";
+  static constexpr const char* kMessage = "request not run";
   std::string backend;
   int status = 0;  ///< 0: no connection
   std::vector<LogField> fields() const { return {{"backend", backend}, {"status", status}}; }
@@ -92,7 +92,7 @@
 
 /// The exchange with a backend failed.
 struct ExchangeFailed {
-  static constexpr const char* kSentence = "exchange failed";
+  static constexpr const char* kMessage = "exchange failed";
   std::string backend;
   const char* failure = "";
   bool streaming = false;  ///< events had been sent to the client
@@ -103,8 +103,8 @@
 };
 
 /// The request was not sent: backends crashed under requests with its fingerprint.
-struct RequestHeldBack {
-  static constexpr const char* kSentence = "request held back";
+struct RequestQuarantined {
+  static constexpr const char* kMessage = "request held back";
   std::string fingerprint;
   uint32_t crashes = 0;  ///< crashes that count against the request
   int64_t left_ms = 0;   ///< until its quarantine ends
@@ -114,15 +114,15 @@
 };
 
 /// The request must not, or can't, be retried.
-struct NotSentAgain {
-  static constexpr const char* kSentence = "request not sent again";
+struct RequestNotRetried {
+  static constexpr const char* kMessage = "request not sent again";
   const char* reason = "";
   std::vector<LogField> fields() const { return {{"reason", reason}}; }
 };
 
 /// The run could not be continued from its KV cache copy at another engine.
-struct CopyNotUsed {
-  static constexpr const char* kSentence = "copy not used";
+struct KvCacheCopyNotUsed {
+  static constexpr const char* kMessage = "copy not used";
   std::string backend;
   const char* reason = "";
   uint64_t weights = 0;
@@ -133,7 +133,7 @@
 
 /// The final response has been sent to the client, or the client has disconnected.
 struct RequestEnded {
-  static constexpr const char* kSentence = "request ended";
+  static constexpr const char* kMessage = "request ended";
   std::string outcome;
   int status = 0;  ///< 0: none, the connection was closed
   uint32_t backends = 0;
@@ -158,8 +158,8 @@
 };
 
 /// The request was answered without being sent: no route, no key, or the router can't serve.
-struct RequestTurnedAway {
-  static constexpr const char* kSentence = "request turned away";
+struct RequestRejected {
+  static constexpr const char* kMessage = "request turned away";
   int status = 0;
   const char* reason = "";
   uint64_t configuration_version = 0;
--- a/src/events/rollout_events.h
+++ b/src/events/rollout_events.h
@@ -31,7 +31,7 @@
 
 /// A rollout was accepted or has taken a step; with the counts of this member at that time.
 struct ServiceRolloutStepped {
-  static constexpr const char* kSentence = "service rollout stepped";
+  static constexpr const char* kMessage = "service rollout stepped";
   fleet::ServiceRollout rollout;
   int64_t age_ms = 0;        ///< since the rollout was ordered
   uint64_t answers = 0;      ///< responses of the target version that were judged
@@ -59,7 +59,7 @@
 
 /// A router applies a rollout, or a step of it, from now on.
 struct RolloutApplied {
-  static constexpr const char* kSentence = "service rollout applied";
+  static constexpr const char* kMessage = "service rollout applied";
   fleet::ServiceRollout rollout;
   std::vector<LogField> fields() const {
     return {{"service", rollout.service},
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -173,7 +173,7 @@
     context_.stores.remove(changes.holder);
   }
   if (existing != changes.followed) {
-    log_.event(events::StoreChanged{before, context_.stores.to_text()});
+    log_.event(events::KvCacheStoreChanged{before, context_.stores.to_text()});
   }
 }
 
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -62,7 +62,7 @@
   settings.budget.slack = reader.number("repeat_slack", 50, 0, 1e6);
   settings.budget.window = std::chrono::seconds(reader.integer("repeat_window_s", 10, 1, 3600));
   settings.quotas = admission::read_quota_tolerance(reader);
-  settings.routers_settle = settings.budget.window;
+  settings.router_count_settle_time = settings.budget.window;
   settings.useful_engine_queue = Duration(1000 * reader.integer("useful_engine_queue_ms", 200, 0, 60000));
   const auto memory_bytes = static_cast<size_t>(reader.integer("memory_mb", 128, 16, 1000000)) << 20U;
   settings.buffer_limits.total_bytes = memory_bytes / kBufferMemoryDivisor;
@@ -102,7 +102,7 @@
   context_.topology = settings.topology;
   context_.place = settings.topology.location_of(settings.zone);
   context_.budget_options = settings.budget;
-  context_.router_count_estimate = delivery::RouterCountEstimate(settings.routers_settle);
+  context_.router_count_estimate = delivery::RouterCountEstimate(settings.router_count_settle_time);
   context_.old_weights_timeout = settings.old_weights_timeout;
   context_.admission_thresholds.max_useful_engine_queue = settings.useful_engine_queue;
   context_.max_retry_after = settings.longest_retry_after;
@@ -195,7 +195,7 @@
   for (const fleet::TargetWeightsVersion& named : update.weights) {
     fleet::VersionHistory& target_versions = context_.wanted[named.model];
     if (named.version > target_versions.newest()) {
-      log_.event(events::WeightsNamed{named.model, named.version, named.age_ms});
+      log_.event(events::TargetWeightsChanged{named.model, named.version, named.age_ms});
     }
     target_versions.note(named.version, loop_.now() - Duration(1000 * named.age_ms));
   }
@@ -226,9 +226,9 @@
                                           configuration.tenants.size()});
 }
 
-void GatewayServer::refuse(const dispatch::RoutedRequest& plan, edge::CallerAnswer& response, int status,
+void GatewayServer::refuse(const dispatch::RoutedRequest& plan, edge::ResponseWriter& response, int status,
                            const char* reason, double retry_after_s) {
-  edge::AnswerHead head;
+  edge::ResponseHead head;
   head.status = status;
   if (!plan.fields.id.empty()) {
     head.headers.add(names_.request_id, plan.fields.id);
@@ -237,8 +237,8 @@
   if (retry_after_s > 0) {
     head.headers.add("Retry-After", dispatch::retry_after_text(retry_after_s));
   }
-  events::RequestStory request_log(plan.fields.id);
-  request_log.add(events::RequestTurnedAway{
+  events::RequestEventLog request_log(plan.fields.id);
+  request_log.add(events::RequestRejected{
       status, reason, route_table_ == nullptr ? 0 : route_table_->configuration().version,
       control_link_.key_lease_left_ms(), plan.tenant == nullptr ? "" : plan.tenant->name});
   request_log.finish(request_log_sampler_, true, reason, loop_.now());
@@ -246,7 +246,7 @@
   response.reply(head, std::string(reason) + "\n");
 }
 
-bool GatewayServer::admit(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit(dispatch::RoutedRequest& plan, edge::ResponseWriter& response) {
   if (route_table_ == nullptr) {
     refuse(plan, response, kUnavailable, "no configuration yet", kStartupRetryAfterS);
     return false;
@@ -268,7 +268,7 @@
   return admit_key(plan, response) && admit_quota(plan, response);
 }
 
-bool GatewayServer::admit_key(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit_key(dispatch::RoutedRequest& plan, edge::ResponseWriter& response) {
   plan.tenant = route_table_->tenant_of_key(plan.fields.key);
   if (settings_.fail_closed && !control_link_.key_lease_valid()) {
     refuse(plan, response, kUnavailable, "keys can't be confirmed", kStartupRetryAfterS);
@@ -281,7 +281,7 @@
   return true;
 }
 
-bool GatewayServer::admit_quota(dispatch::RoutedRequest& plan, edge::CallerAnswer& response) {
+bool GatewayServer::admit_quota(dispatch::RoutedRequest& plan, edge::ResponseWriter& response) {
   const fleet::TenantQuota& quota = plan.tenant->quota;
   if (!quota.limited()) {
     return true;
@@ -305,8 +305,8 @@
          (route_table_->has_quotas() && !quotas_known_);
 }
 
-bool GatewayServer::queue_until_started(edge::CallerRequest& request,
-                                        std::shared_ptr<edge::CallerAnswer>& response) {
+bool GatewayServer::queue_until_started(edge::EdgeRequest& request,
+                                        std::shared_ptr<edge::ResponseWriter>& response) {
   const TimePoint now = loop_.now();
   const auto client_timeout_ms = dispatch::read_fields(request.headers, names_).deadline_ms;
   WaitingRequest waiting{std::move(request), std::move(response), now,
@@ -333,7 +333,7 @@
   }
 }
 
-void GatewayServer::on_request(edge::CallerRequest request, std::shared_ptr<edge::CallerAnswer> response) {
+void GatewayServer::on_request(edge::EdgeRequest request, std::shared_ptr<edge::ResponseWriter> response) {
   if (starting() && queue_until_started(request, response)) {
     return;
   }
@@ -341,7 +341,7 @@
   serve(std::move(request), response, now);
 }
 
-void GatewayServer::serve(edge::CallerRequest request, const std::shared_ptr<edge::CallerAnswer>& response,
+void GatewayServer::serve(edge::EdgeRequest request, const std::shared_ptr<edge::ResponseWriter>& response,
                           TimePoint arrived) {
   dispatch::RoutedRequest plan;
   plan.arrived = arrived;
@@ -370,7 +370,7 @@
   }
 }
 
-void GatewayServer::on_disconnect(const edge::CallerAnswer* response,
+void GatewayServer::on_disconnect(const edge::ResponseWriter* response,
                                   edge::DisconnectReason disconnect_reason) {
   startup_queue_.remove(response);
   const auto found = active_requests_.find(response);
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -36,7 +36,7 @@
   admission::QuotaTolerance quotas;
   /// How long a lower router count must hold before the retry limit uses it. Equal to the window of the
   /// limit.
-  Duration routers_settle = 10s;
+  Duration router_count_settle_time = 10s;
   events::RequestLogOptions request_log_options;
   /// An engine queue up to this long costs nothing: the routers' knowledge of engines is about as old.
   Duration useful_engine_queue = 200ms;
@@ -58,8 +58,8 @@
   GatewayServer(const GatewayServer&) = delete;
   GatewayServer& operator=(const GatewayServer&) = delete;
 
-  void on_request(edge::CallerRequest request, std::shared_ptr<edge::CallerAnswer> response) override;
-  void on_disconnect(const edge::CallerAnswer* response, edge::DisconnectReason disconnect_reason) override;
+  void on_request(edge::EdgeRequest request, std::shared_ptr<edge::ResponseWriter> response) override;
+  void on_disconnect(const edge::ResponseWriter* response, edge::DisconnectReason disconnect_reason) override;
   /// Returns true while the router should receive traffic.
   bool ready() const;
   /// Drains the requests in flight, then stops the loop.
@@ -123,21 +123,21 @@
   void report_drained_versions();
   void log_key_lease_change();
   /// `retry_after_s` is sent as Retry-After; 0: no Retry-After.
-  void refuse(const dispatch::RoutedRequest& plan, edge::CallerAnswer& response, int status,
+  void refuse(const dispatch::RoutedRequest& plan, edge::ResponseWriter& response, int status,
               const char* reason, double retry_after_s = 0);
   /// Returns true until the router can first decide about requests after its start.
   bool starting() const;
   /// Queues a request until the router can decide about it. Returns false when the queue is full.
-  bool queue_until_started(edge::CallerRequest& request, std::shared_ptr<edge::CallerAnswer>& response);
+  bool queue_until_started(edge::EdgeRequest& request, std::shared_ptr<edge::ResponseWriter>& response);
   /// Serves the queued requests once the router has started. Refuses those whose wait expires earlier.
   void process_startup_queue();
-  void serve(edge::CallerRequest request, const std::shared_ptr<edge::CallerAnswer>& response,
+  void serve(edge::EdgeRequest request, const std::shared_ptr<edge::ResponseWriter>& response,
              TimePoint arrived);
-  bool admit(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
+  bool admit(dispatch::RoutedRequest& plan, edge::ResponseWriter& response);
   /// Finds the tenant of the access key. Returns false when the request was refused.
-  bool admit_key(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
+  bool admit_key(dispatch::RoutedRequest& plan, edge::ResponseWriter& response);
   /// Charges the tenant's quota. Returns false when the request was refused.
-  bool admit_quota(dispatch::RoutedRequest& plan, edge::CallerAnswer& response);
+  bool admit_quota(dispatch::RoutedRequest& plan, edge::ResponseWriter& response);
   void check_shutdown();
 
   EventLoop& loop_;
@@ -146,7 +146,7 @@
   std::string malformed_token_counts_message_;  ///< response body for malformed token counts
   Logger log_{"router"};
   Metrics metrics_;
-  events::StoryBook request_log_sampler_;
+  events::RequestLogSampler request_log_sampler_;
   placement::EventValidity cache_event_validity_;  ///< of all caches that the feed reports
   dispatch::BackendPool pool_;
   uint64_t start_id_ = 0;  ///< of this process
@@ -163,7 +163,7 @@
   std::set<std::string> unreported_unreachable_;    ///< backends found unreachable since the last report
   bool key_lease_logged_as_held_ = false;           ///< as last logged
   fleet::PlacementUpdate pending_placements_;
-  std::map<const edge::CallerAnswer*, std::shared_ptr<dispatch::ActiveRequest>> active_requests_;
+  std::map<const edge::ResponseWriter*, std::shared_ptr<dispatch::ActiveRequest>> active_requests_;
   StartupQueue startup_queue_;
   ControlLink control_link_;
   edge::EdgeServer edge_;
--- a/src/gateway/startup_queue.cc
+++ b/src/gateway/startup_queue.cc
@@ -13,7 +13,7 @@
   return true;
 }
 
-void StartupQueue::remove(const edge::CallerAnswer* response) {
+void StartupQueue::remove(const edge::ResponseWriter* response) {
   std::erase_if(requests_,
                 [response](const WaitingRequest& entry) { return entry.response.get() == response; });
 }
--- a/src/gateway/startup_queue.h
+++ b/src/gateway/startup_queue.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "src/common/time.h"
-#include "src/edge/caller_request.h"
+#include "src/edge/edge_request.h"
 
 namespace stoat::gateway {
 
 /// One request in the queue.
 struct WaitingRequest {
-  edge::CallerRequest request;
-  std::shared_ptr<edge::CallerAnswer> response;
+  edge::EdgeRequest request;
+  std::shared_ptr<edge::ResponseWriter> response;
   TimePoint arrived{0};
   TimePoint expires{0};  ///< refused if the router can't decide by then
 };
@@ -30,7 +30,7 @@
   /// Returns false when the queue is full; the request is then left unchanged.
   bool add(WaitingRequest& request);
   /// Removes the request of a client that has disconnected.
-  void remove(const edge::CallerAnswer* response);
+  void remove(const edge::ResponseWriter* response);
   /// Removes and returns all requests, in order of arrival.
   std::vector<WaitingRequest> take_all();
   /// Removes and returns the requests that have expired.
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -118,7 +118,7 @@
     router_settings_.link.seeds = {control.internal};
     router_settings_.link.status_interval = status_interval;
     router_settings_.budget.slack = repeat_slack;
-    router_settings_.routers_settle = 0s;
+    router_settings_.router_count_settle_time = 0s;
     control_endpoint_ = control.internal;
     control_ = std::make_unique<control::FleetServer>(control_loop_, control, engine_orders_);
     router_ = make_router("r1");
--- a/tests/unit/edge_test.cc
+++ b/tests/unit/edge_test.cc
@@ -17,22 +17,22 @@
 /// Responds to each request with its target and body.
 class EchoHandler : public edge::RequestHandler {
  public:
-  void on_request(edge::CallerRequest request, std::shared_ptr<edge::CallerAnswer> response) override {
+  void on_request(edge::EdgeRequest request, std::shared_ptr<edge::ResponseWriter> response) override {
     ++requests;
     if (request.target == "/hold") {
       pending_response = std::move(response);
       return;
     }
-    edge::AnswerHead head;
+    edge::ResponseHead head;
     response->reply(head, request.method + " " + request.target + " [" + request.body + "]");
   }
-  void on_disconnect(const edge::CallerAnswer*, edge::DisconnectReason) override {
+  void on_disconnect(const edge::ResponseWriter*, edge::DisconnectReason) override {
     ++disconnects;
     pending_response.reset();
   }
   std::atomic<int> requests{0};
   std::atomic<int> disconnects{0};
-  std::shared_ptr<edge::CallerAnswer> pending_response;
+  std::shared_ptr<edge::ResponseWriter> pending_response;
 };
 
 class EdgeTest : public ::testing::Test {
@@ -202,7 +202,7 @@
   }
   // The head is written before draining starts. The connection must still be closed after this response.
   loop_.post([this] {
-    handler_.pending_response->start(edge::AnswerHead{});
+    handler_.pending_response->start(edge::ResponseHead{});
     server_->start_draining();
     handler_.pending_response->finish();
     handler_.pending_response.reset();
@@ -218,7 +218,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   loop_.post([this] {
-    handler_.pending_response->start(edge::AnswerHead{});
+    handler_.pending_response->start(edge::ResponseHead{});
     handler_.pending_response->send("part");
     handler_.pending_response->abort();
     handler_.pending_response.reset();
--- a/tests/unit/explain_test.cc
+++ b/tests/unit/explain_test.cc
@@ -16,7 +16,7 @@
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000000 + ms));
   line.part = "router";
-  line.sentence = Event::kSentence;
+  line.sentence = Event::kMessage;
   line.fields = event.fields();
   if (!request.empty()) {
     line.fields.insert(line.fields.begin(), LogField("request", request));
@@ -41,7 +41,7 @@
 }
 
 TEST(Explain, ExplainsARefusalWhileBackendsExist) {
-  const auto lines = read_lines(event_line(100, "q1", events::RequestWaits{3, 1, 2}) +
+  const auto lines = read_lines(event_line(100, "q1", events::RequestWaitingForBackend{3, 1, 2}) +
                                 event_line(0, "q1", events::RequestAccepted{"r", "s", "t", 4, 500, 10}) +
                                 event_line(200, "q1", ended_event("no back end", 503)) +
                                 event_line(50, "q2", ended_event("no back end", 503)));
@@ -56,8 +56,8 @@
 TEST(Explain, ExplainsABrokenStream) {
   const auto lines =
       read_lines(event_line(0, "q1", events::ExchangeFailed{"e1", "broken off", true, true}) +
-                 event_line(1, "q1", events::NotSentAgain{"may have run, and must not run twice"}) +
-                 event_line(2, "q1", events::CopyNotUsed{"e1", "weights changed", 2}) +
+                 event_line(1, "q1", events::RequestNotRetried{"may have run, and must not run twice"}) +
+                 event_line(2, "q1", events::KvCacheCopyNotUsed{"e1", "weights changed", 2}) +
                  event_line(3, "q1", ended_event("the engine broke off", 0)));
   const std::string text = explain("q1", lines).summary;
   EXPECT_NE(text.find("the exchange with e1 failed: broken off, in the middle of the stream"),
--- a/tests/unit/slow_readers_test.cc
+++ b/tests/unit/slow_readers_test.cc
@@ -23,7 +23,7 @@
 class StreamingHandler : public edge::RequestHandler {
  public:
   explicit StreamingHandler(EventLoop& loop) : loop_(loop) {}
-  void on_request(edge::CallerRequest request, std::shared_ptr<edge::CallerAnswer> response) override {
+  void on_request(edge::EdgeRequest request, std::shared_ptr<edge::ResponseWriter> response) override {
     if (request.target == "/whole") {
       response->reply({}, std::string(kResponseBytes, 'x'));
       return;
@@ -44,7 +44,7 @@
     response_->start({});
     pump();
   }
-  void on_disconnect(const edge::CallerAnswer*, edge::DisconnectReason disconnect_reason) override {
+  void on_disconnect(const edge::ResponseWriter*, edge::DisconnectReason disconnect_reason) override {
     stalled += disconnect_reason == edge::DisconnectReason::kStalled ? 1 : 0;
     ++disconnects;
     response_ = nullptr;
@@ -68,7 +68,7 @@
     }
   }
   EventLoop& loop_;
-  std::shared_ptr<edge::CallerAnswer> response_;
+  std::shared_ptr<edge::ResponseWriter> response_;
   size_t sent_ = 0;
   bool paused_ = false;
 };
--- a/tests/unit/starting_router_test.cc
+++ b/tests/unit/starting_router_test.cc
@@ -11,9 +11,9 @@
 using test::status_of;
 
 TEST(StartupQueue, ReturnsRequestsInOrderAndForgetsDisconnectedClients) {
-  struct DiscardingResponse : edge::CallerAnswer {
-    void reply(const edge::AnswerHead&, std::string_view) override {}
-    void start(const edge::AnswerHead&) override {}
+  struct DiscardingResponse : edge::ResponseWriter {
+    void reply(const edge::ResponseHead&, std::string_view) override {}
+    void start(const edge::ResponseHead&) override {}
     void send(std::string_view) override {}
     void finish() override {}
     void abort() override {}
@@ -21,7 +21,7 @@
     void set_flow_handler(FlowHandler) override {}
   };
   gateway::StartupQueue queue;
-  std::vector<std::shared_ptr<edge::CallerAnswer>> responses;
+  std::vector<std::shared_ptr<edge::ResponseWriter>> responses;
   for (int number = 0; number < 4; ++number) {
     responses.push_back(std::make_shared<DiscardingResponse>());
     gateway::WaitingRequest waiting{{}, responses.back(), TimePoint(0), TimePoint(100ms * (4 - number))};
