--- a/src/common/log.h
+++ b/src/common/log.h
@@ -14,10 +14,10 @@
 class Logger {
  public:
   explicit Logger(std::string component) : component_(std::move(component)) {}
-  void debug(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
-  void info(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
-  void warning(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
-  void error(std::string_view sentence, std::initializer_list<LogField> fields = {}) const;
+  void debug(std::string_view log_message, std::initializer_list<LogField> fields = {}) const;
+  void info(std::string_view log_message, std::initializer_list<LogField> fields = {}) const;
+  void warning(std::string_view log_message, std::initializer_list<LogField> fields = {}) const;
+  void error(std::string_view log_message, std::initializer_list<LogField> fields = {}) const;
 
   /// Writes a typed event, a struct with `kMessage` and `fields()`, at level info.
   template <typename Event>
@@ -25,10 +25,11 @@
     write(log_now(), Event::kMessage, typed_event.fields());
   }
   /// Writes a line at level info with the given time instead of the current time.
-  void write(LogTime time, std::string_view sentence, std::vector<LogField> fields) const;
+  void write(LogTime time, std::string_view log_message, std::vector<LogField> fields) const;
 
  private:
-  std::string format(LogLevel level, std::string_view sentence, std::initializer_list<LogField> fields) const;
+  std::string format(LogLevel level, std::string_view log_message,
+                     std::initializer_list<LogField> fields) const;
   std::string component_;
 };
 
--- a/src/common/log_line.cc
+++ b/src/common/log_line.cc
@@ -143,7 +143,7 @@
 
 std::string to_text(const LogLine& line) {
   std::string text = format_time(line.time) + " " + kLevelNames.at(static_cast<size_t>(line.level)) + " [" +
-                     line.part + "] " + line.sentence;
+                     line.part + "] " + line.log_message;
   for (const LogField& field : line.fields) {
     text += " " + field.key + "=" + (needs_quotes(field.value) ? quote(field.value) : field.value);
   }
@@ -173,7 +173,7 @@
   }
   line.part = std::string(component.substr(1, component.size() - 2));
   while (!reader.at_end() && !reader.next_is_field()) {
-    line.sentence += (line.sentence.empty() ? "" : " ") + std::string(reader.take_word());
+    line.log_message += (line.log_message.empty() ? "" : " ") + std::string(reader.take_word());
   }
   while (!reader.at_end()) {
     if (!reader.next_is_field()) {
--- a/src/common/log_writer.cc
+++ b/src/common/log_writer.cc
@@ -55,7 +55,7 @@
   line.time = log_now();
   line.level = LogLevel::kWarning;
   line.part = "log";
-  line.sentence = "lines were lost, the reader was too slow";
+  line.log_message = "lines were lost, the reader was too slow";
   line.fields = {{"lines", dropped_ - reported_dropped_}};
   pending_ += to_text(line) + "\n";
   reported_dropped_ = dropped_;
--- a/src/control/command.h
+++ b/src/control/command.h
@@ -9,8 +9,8 @@
 namespace stoat::control {
 
 /// Any command. New alternatives go at the end, since the encoding contains the index of the alternative.
-using Command = wire::Packed<fleet::PutConfiguration, fleet::SetTargetWeights, fleet::RetireBackend,
-                             fleet::StartServiceRollout, fleet::StepServiceRollout>;
+using Command = wire::TaggedVariant<fleet::PutConfiguration, fleet::SetTargetWeights, fleet::RetireBackend,
+                                    fleet::StartServiceRollout, fleet::StepServiceRollout>;
 
 /// Outcome of applying a command.
 enum class ResultCode : uint8_t {
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -19,7 +19,7 @@
 void FleetServer::on_control_call(const ChannelPtr& channel, wire::ControlCall call) {
   const uint64_t call_id = call.call_id;
   const auto answer = [channel, call_id](const CallOutcome& outcome) {
-    wire::ControlAnswer reply;
+    wire::ControlResponse reply;
     reply.call_id = call_id;
     reply.status = outcome.done ? wire::CallStatus::kDone : wire::CallStatus::kUnavailable;
     reply.result = outcome.result;
@@ -27,7 +27,7 @@
   };
   if (!core_->replica().leads()) {
     // A call is never forwarded a second time: the member that sent it retries with the next leader.
-    wire::ControlAnswer reply;
+    wire::ControlResponse reply;
     reply.call_id = call_id;
     reply.status = wire::CallStatus::kNotLeader;
     channel->send(reply);
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -35,7 +35,7 @@
   settings.region = reader.text("region", "");
   settings.topology = topology::read_topology(reader);
   settings.internal = read_endpoint(reader, "internal", "127.0.0.1:7000");
-  settings.seeds = read_seeds(reader);
+  settings.seeds = read_seed_endpoints(reader);
   settings.data_folder = reader.required_text("data_folder");
   settings.first_start = reader.flag("first_start", false);
   const int64_t losses = reader.integer("tolerated_losses", 2, 0, 50);
@@ -218,7 +218,7 @@
     on_confirmation_answer(*confirmed);
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
     on_control_call(channel, std::move(*call));
-  } else if (auto* answer = std::get_if<wire::ControlAnswer>(&message.value)) {
+  } else if (auto* answer = std::get_if<wire::ControlResponse>(&message.value)) {
     const bool kept =
         answer->status == wire::CallStatus::kNotLeader && forwarded_calls_.holds(answer->call_id);
     if (!kept) {
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -114,7 +114,7 @@
                                                         "stopped",
                                                         "leads",
                                                         "leads no more"};
-  return std::find(fleet_events.begin(), fleet_events.end(), line.sentence) != fleet_events.end();
+  return std::find(fleet_events.begin(), fleet_events.end(), line.log_message) != fleet_events.end();
 }
 
 void sort_by_time(std::vector<LocatedLine>& lines) {
@@ -139,17 +139,17 @@
            "never came in.";
   }
   const LogLine& last = request_lines.back().line;
-  if (last.sentence == events::RequestRejected::kMessage) {
+  if (last.log_message == events::RequestRejected::kMessage) {
     return "It was " + describe(last) + ".";
   }
-  if (last.sentence != events::RequestEnded::kMessage) {
+  if (last.log_message != events::RequestEnded::kMessage) {
     return "Its end is not in these logs; the last that is known: " + describe(last) + ".";
   }
   std::string reason;
   for (const LocatedLine& entry : request_lines) {
-    if (entry.line.sentence != events::RequestEnded::kMessage &&
-        entry.line.sentence != events::RequestAccepted::kMessage &&
-        entry.line.sentence != events::RequestSent::kMessage) {
+    if (entry.line.log_message != events::RequestEnded::kMessage &&
+        entry.line.log_message != events::RequestAccepted::kMessage &&
+        entry.line.log_message != events::RequestSent::kMessage) {
       reason += (reason.empty() ? "" : "; ") + describe(entry.line);
     }
   }
@@ -180,11 +180,11 @@
 }
 
 std::string describe(const LogLine& line) {
-  const auto describer = describers().find(line.sentence);
+  const auto describer = describers().find(line.log_message);
   if (describer != describers().end()) {
     return describer->second(line);
   }
-  std::string text = line.sentence;
+  std::string text = line.log_message;
   for (const LogField& field : line.fields) {
     if (field.key != "request") {
       text += " " + field.key + "=" + field.value;
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -222,7 +222,7 @@
   head_.status = status;
   head_.headers = http1::Headers();
   for (const http1::HeaderLine& line : headers.lines()) {
-    if (!http1::is_hop_header(line.name)) {
+    if (!http1::is_hop_by_hop_header(line.name)) {
       head_.headers.add(line.name, line.value);
     }
   }
--- a/src/dispatch/request_fields.cc
+++ b/src/dispatch/request_fields.cc
@@ -61,7 +61,7 @@
 
 std::string parse_key(const std::string& credential, const std::string& scheme) {
   const bool matches = credential.size() > scheme.size() + 1 && credential[scheme.size()] == ' ' &&
-                       http1::same_name(credential.substr(0, scheme.size()), scheme);
+                       http1::equal_ignoring_case(credential.substr(0, scheme.size()), scheme);
   return matches ? credential.substr(scheme.size() + 1) : "";
 }
 
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -90,8 +90,9 @@
       &names.cache_salt, &names.urgency, &names.kv_source,   &names.kv_target,
       &names.pin_ms,     &names.hold,    &names.kv_backup,   &names.kv_from};
   return std::any_of(own.begin(), own.end(),
-                     [&](const std::string* header) { return http1::same_name(*header, name); }) ||
-         http1::same_name(names.expected_weights, name) || http1::same_name(names.last_event_id, name);
+                     [&](const std::string* header) { return http1::equal_ignoring_case(*header, name); }) ||
+         http1::equal_ignoring_case(names.expected_weights, name) ||
+         http1::equal_ignoring_case(names.last_event_id, name);
 }
 
 const BackendPtr& ActiveRequest::choose_without_prompt(const std::vector<BackendPtr>& candidates,
@@ -138,7 +139,7 @@
   };
   for (const http1::HeaderLine& line : plan_.request.headers.lines()) {
     const bool named_by_connection = plan_.request.headers.has_token("Connection", line.name);
-    if (!http1::is_hop_header(line.name) && !is_router_header(line.name) && !named_by_connection) {
+    if (!http1::is_hop_by_hop_header(line.name) && !is_router_header(line.name) && !named_by_connection) {
       add(line.name, line.value);
     }
   }
--- a/src/edge/client_connection.cc
+++ b/src/edge/client_connection.cc
@@ -37,7 +37,7 @@
       parser_(http1::MessageParser::Kind::kRequest, *this),
       request_reservation_(server.buffer_budget_),
       response_reservation_(server.buffer_budget_) {
-  http::send_without_delay(socket);
+  http::disable_nagle(socket);
   connection_ =
       bufferevent_socket_new(server.loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   const auto on_readable = [](bufferevent*, void* context) {
@@ -283,7 +283,7 @@
     request_.body.reserve(parser_.content_length());
   }
   const std::string* expectation = parser_.headers().find("Expect");
-  if (expectation != nullptr && http1::same_name(*expectation, "100-continue")) {
+  if (expectation != nullptr && http1::equal_ignoring_case(*expectation, "100-continue")) {
     write("HTTP/1.1 100 Continue\r\n\r\n");
   }
   close_after_response_ = !parser_.keep_alive();
--- a/src/events/request_event_log.cc
+++ b/src/events/request_event_log.cc
@@ -61,7 +61,7 @@
   }
   for (Entry& entry : lines_) {
     entry.fields.insert(entry.fields.begin(), LogField("request", request_));
-    sampler.log().write(entry.time, entry.sentence, std::move(entry.fields));
+    sampler.log().write(entry.time, entry.log_message, std::move(entry.fields));
   }
   lines_.clear();
 }
--- a/src/events/request_event_log.h
+++ b/src/events/request_event_log.h
@@ -68,7 +68,7 @@
  private:
   struct Entry {
     LogTime time;
-    const char* sentence;
+    const char* log_message;
     std::vector<LogField> fields;
   };
   std::string request_;
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -39,7 +39,7 @@
   settings.region = reader.text("region", "");
   settings.topology = topology::read_topology(reader);
   settings.listen = read_endpoint(reader, "listen", "127.0.0.1:8080");
-  settings.link.seeds = read_seeds(reader);
+  settings.link.seeds = read_seed_endpoints(reader);
   settings.fail_closed = reader.flag("fail_closed", true);
   const int64_t revocation_ms = reader.integer("revocation_ms", 5000, 100, 3600000);
   // The rest is for the time from the edge to the engine.
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -139,7 +139,7 @@
   const int start_result =
       evhttp_make_request(connection, outgoing, evhttp_method(request.method), request.path.c_str());
   if (start_result == 0 && calls_.count(call_id) > 0) {
-    send_without_delay(connection);
+    disable_nagle(connection);
   }
   return call_id;
 }
--- a/src/http/socket_options.h
+++ b/src/http/socket_options.h
@@ -12,10 +12,10 @@
 
 /// Disables Nagle's algorithm (TCP_NODELAY). With it, the kernel delays a small write, such as one token,
 /// until the previous one is acknowledged, which takes up to 40 ms.
-void send_without_delay(int socket);
+void disable_nagle(int socket);
 
 /// Overload for the socket of an HTTP connection.
-void send_without_delay(evhttp_connection* connection);
+void disable_nagle(evhttp_connection* connection);
 
 /// Sets how long sent data may stay unacknowledged (TCP_USER_TIMEOUT) before the kernel closes the connection
 /// or gives up connecting.
@@ -24,12 +24,12 @@
 /// Enables TCP keepalive probes after one second without traffic, repeated every second. Together with
 /// set_unacknowledged_timeout(), a connection to an unreachable machine is closed even while nothing is being
 /// sent.
-void probe_when_quiet(int socket);
+void enable_keepalive_probes(int socket);
 
-/// Starts connecting to an endpoint, with send_without_delay() and set_unacknowledged_timeout() applied. The
+/// Starts connecting to an endpoint, with disable_nagle() and set_unacknowledged_timeout() applied. The
 /// callbacks of the returned bufferevent are deferred. Returns nullptr if the endpoint is malformed or no
 /// socket can be opened or connected.
-bufferevent* connect_to(event_base* base, const Endpoint& endpoint, Duration unacknowledged_timeout);
+bufferevent* start_connection(event_base* base, const Endpoint& endpoint, Duration unacknowledged_timeout);
 
 /// Closes the socket of a bufferevent immediately and frees the bufferevent. bufferevent_free() alone defers
 /// closing the socket to the event loop. If a deferred callback is pending and the loop does not run again,
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -17,7 +17,7 @@
 };
 
 /// Compares header names, ignoring ASCII case.
-bool same_name(std::string_view left, std::string_view right);
+bool equal_ignoring_case(std::string_view left, std::string_view right);
 
 /// The header lines of one message, in the order received.
 class Headers {
@@ -38,7 +38,7 @@
 };
 
 /// True for headers that are not forwarded by a proxy: hop-by-hop headers, and Content-Length and Expect.
-bool is_hop_header(std::string_view name);
+bool is_hop_by_hop_header(std::string_view name);
 
 /// Receives the events of a MessageParser. Its methods are called from within MessageParser::feed() and
 /// finish().
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -21,7 +21,7 @@
 enum class CallStatus : uint8_t { kDone, kNotLeader, kUnavailable };
 
 /// From the leader to a control member: the outcome of its call.
-struct ControlAnswer {
+struct ControlResponse {
   uint64_t call_id = 0;
   CallStatus status = CallStatus::kDone;
   control::CommandResult result;
@@ -41,11 +41,11 @@
 };
 
 /// Any message. New alternatives must be added at the end.
-using Message =
-    Packed<ControlCall, ControlAnswer, PeerMessage, JoinRequest, fleet::RouterStatus, fleet::FleetUpdate,
-           fleet::PeerUpdate, fleet::ConfirmedRead, fleet::ConfirmedReadResponse, fleet::MemberAddresses,
-           fleet::PlacementUpdate, fleet::FleetFeedUpdate, fleet::RouterLoads, fleet::ConfirmationRequest,
-           fleet::ConfirmationResponse, fleet::PermitRequest, fleet::PermitResponse>;
+using Message = TaggedVariant<ControlCall, ControlResponse, PeerMessage, JoinRequest, fleet::RouterStatus,
+                              fleet::FleetUpdate, fleet::PeerUpdate, fleet::ConfirmedRead,
+                              fleet::ConfirmedReadResponse, fleet::MemberAddresses, fleet::PlacementUpdate,
+                              fleet::FleetFeedUpdate, fleet::RouterLoads, fleet::ConfirmationRequest,
+                              fleet::ConfirmationResponse, fleet::PermitRequest, fleet::PermitResponse>;
 
 }  // namespace stoat::wire
 
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -75,7 +75,7 @@
         } else if constexpr (std::is_same_v<Type, fleet::ConfirmationRequest> ||
                              std::is_same_v<Type, fleet::ConfirmationResponse>) {
           return Purpose::kConfirmations;
-        } else if constexpr (std::is_same_v<Type, ControlCall> || std::is_same_v<Type, ControlAnswer> ||
+        } else if constexpr (std::is_same_v<Type, ControlCall> || std::is_same_v<Type, ControlResponse> ||
                              std::is_same_v<Type, fleet::ConfirmedRead> ||
                              std::is_same_v<Type, fleet::ConfirmedReadResponse>) {
           return Purpose::kCalls;
--- a/tests/unit/explain_test.cc
+++ b/tests/unit/explain_test.cc
@@ -16,7 +16,7 @@
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000000 + ms));
   line.part = "router";
-  line.sentence = Event::kMessage;
+  line.log_message = Event::kMessage;
   line.fields = event.fields();
   if (!request.empty()) {
     line.fields.insert(line.fields.begin(), LogField("request", request));
@@ -48,7 +48,7 @@
   const Explanation result = explain("q1", lines);
   ASSERT_EQ(result.request_lines.size(), 3U);
   // Ordered by time, not by position in the log.
-  EXPECT_EQ(result.request_lines.front().line.sentence, "request accepted");
+  EXPECT_EQ(result.request_lines.front().line.log_message, "request accepted");
   EXPECT_NE(result.summary.find("no back end, status 503"), std::string::npos) << result.summary;
   EXPECT_NE(result.summary.find("of 3 back ends, 1 had it already and 2 load weights"), std::string::npos);
 }
@@ -76,7 +76,7 @@
   const Explanation result = explain("q1", lines);
   ASSERT_EQ(result.related_events.size(), 2U);
   EXPECT_EQ(result.related_events[0].line.field("backend"), "e1");
-  EXPECT_EQ(result.related_events[1].line.sentence, "key lease changed");
+  EXPECT_EQ(result.related_events[1].line.log_message, "key lease changed");
 }
 
 TEST(Explain, ReportsThatNoLineNamesTheRequest) {
--- a/tests/unit/logging_test.cc
+++ b/tests/unit/logging_test.cc
@@ -18,7 +18,7 @@
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000123));
   line.part = "router";
-  line.sentence = "request ended";
+  line.log_message = "request ended";
   line.fields = {{"request", "q1"}, {"outcome", "no back end"}, {"status", 503}};
   return line;
 }
@@ -39,18 +39,18 @@
   EXPECT_EQ(read->time, line.time);
   EXPECT_EQ(read->level, line.level);
   EXPECT_EQ(read->part, line.part);
-  EXPECT_EQ(read->sentence, line.sentence);
+  EXPECT_EQ(read->log_message, line.log_message);
   EXPECT_EQ(read->fields, line.fields);
 }
 
 TEST(LogLine, EachTypedEventParsesBack) {
   const auto check = [](const auto& event) {
     LogLine line = sample();
-    line.sentence = event.kMessage;
+    line.log_message = event.kMessage;
     line.fields = event.fields();
     const auto read = parse_log_line(to_text(line));
     ASSERT_TRUE(read.has_value()) << read.error();
-    EXPECT_EQ(read->sentence, event.kMessage);
+    EXPECT_EQ(read->log_message, event.kMessage);
     EXPECT_EQ(read->fields, line.fields);
   };
   check(events::RequestAccepted{"r", "s", "t", 3, 500, 10});
