--- a/tests/support/fake_engine.h
+++ b/tests/support/fake_engine.h
@@ -10,7 +10,7 @@
 namespace stoat::test {
 
 /// Times at which a request produces its first event and at which it frees its slot, in milliseconds.
-struct FakeRun {
+struct FakeRequestTimes {
   double first_event_ms = 0;
   double end_ms = 0;
 };
@@ -26,7 +26,7 @@
 
   /// Adds a request to the end of the queue and returns its times.
   /// `response_ms`: time from the first event to the end of the response.
-  FakeRun take(double now_ms, double prompt_tokens, double response_ms) {
+  FakeRequestTimes take(double now_ms, double prompt_tokens, double response_ms) {
     remove_past_events(now_ms);
     double prefill_start_ms = now_ms;
     if (end_times_.size() >= slots_) {
@@ -39,8 +39,8 @@
     }
     prefill_start_ms = std::max(prefill_start_ms, prefill_end_ms_);
     prefill_end_ms_ = prefill_start_ms + prompt_tokens / prefill_tokens_per_ms_;
-    const FakeRun run{prefill_end_ms_ + first_event_delay_ms_,
-                      prefill_end_ms_ + first_event_delay_ms_ + response_ms};
+    const FakeRequestTimes run{prefill_end_ms_ + first_event_delay_ms_,
+                               prefill_end_ms_ + first_event_delay_ms_ + response_ms};
     end_times_.push(run.end_ms);
     pending_first_events_.push({run.first_event_ms, prompt_tokens});
     return run;
--- a/tests/support/fleet_members.h
+++ b/tests/support/fleet_members.h
@@ -97,7 +97,7 @@
 
  private:
   EventLoop loop_;
-  NotedOrders engine_orders_;
+  RecordingEngineOrders engine_orders_;
   std::unique_ptr<control::FleetServer> server_;
   std::thread thread_;
 };
@@ -154,7 +154,7 @@
     return false;
   }
   /// Retries to commit a configuration through one member. Returns false if that does not succeed in time.
-  bool commit_somewhere(uint64_t version, size_t index) {
+  bool commit_eventually(uint64_t version, size_t index) {
     return eventually([&] { return members_[index]->commit(put(version)); });
   }
 
--- a/tests/support/paths.h
+++ b/tests/support/paths.h
@@ -6,8 +6,8 @@
 namespace stoat::test {
 
 /// Returns the directory that contains the built programs.
-std::string program_folder();
+std::string program_directory();
 /// Returns the root directory of the source tree.
-std::string source_folder();
+std::string source_root();
 
 }  // namespace stoat::test
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -29,12 +29,12 @@
 struct QuotaFleetOptions {
   size_t routers = 79;
   size_t members = 5;
-  double rate = 118000;      ///< of the quota, in tokens per second
-  double burst = 118000;     ///< of the quota, in tokens
-  double demand = 160000;    ///< of all requests, in tokens per second
-  double mean_cost = 9000;   ///< of a request, in tokens
-  double most_cost = 46000;  ///< maximum cost of a request, in tokens
-  Duration delay = 3ms;      ///< of a message, in addition to the wait for the next round of messages
+  double rate = 118000;     ///< of the quota, in tokens per second
+  double burst = 118000;    ///< of the quota, in tokens
+  double demand = 160000;   ///< of all requests, in tokens per second
+  double mean_cost = 9000;  ///< of a request, in tokens
+  double max_cost = 46000;  ///< maximum cost of a request, in tokens
+  Duration delay = 3ms;     ///< of a message, in addition to the wait for the next round of messages
   admission::QuotaTolerance tolerance{8s, 0.1, 110000};
   uint64_t seed = 1;
 };
@@ -64,7 +64,7 @@
     }
   }
   /// Advances time without requests.
-  void rest_for(Duration duration) {
+  void run_idle_for(Duration duration) {
     const double saved_demand = std::exchange(options_.demand, 0);
     run_for(duration);
     options_.demand = saved_demand;
@@ -72,7 +72,7 @@
 
   void set_demand(double demand) { options_.demand = demand; }
   /// Sends all requests to one router; SIZE_MAX: spreads them over all routers.
-  void set_only_router(size_t router) { target_router_ = router; }
+  void set_target_router(size_t router) { target_router_ = router; }
   /// Changes the rate of the quota, and sets its burst to one second of the rate.
   void set_rate(double rate) {
     const double highest_rate = std::max(quota_.per_second, earlier_rate_);
@@ -119,7 +119,7 @@
   void set_loss(double chance) { loss_ = chance; }
 
   /// Returns the maximum of spending within a window, as a fraction of the bound; above 1 it was exceeded.
-  double worst_share_of_bound() const { return max_fraction_of_bound_; }
+  double max_fraction_of_bound() const { return max_fraction_of_bound_; }
   /// Returns the cost of the admitted requests, in tokens.
   double served() const { return admitted_tokens_; }
   /// Returns the cost of all requests, in tokens.
@@ -127,7 +127,7 @@
   /// Returns the number of requests refused because of the quota.
   size_t refused() const { return refused_requests_; }
   /// Resets the totals of requested and admitted tokens and of refused requests.
-  void forget_counts() { admitted_tokens_ = requested_tokens_ = 0, refused_requests_ = 0; }
+  void reset_counts() { admitted_tokens_ = requested_tokens_ = 0, refused_requests_ = 0; }
   size_t router_count() const { return routers_.size(); }
   size_t member_count() const { return members_.size(); }
 
@@ -207,7 +207,7 @@
   void make_requests() {
     double remaining_demand = options_.demand * to_seconds(kStep) + remaining_demand_;
     while (remaining_demand > 0) {
-      const double cost = std::min(options_.most_cost, 1 + random_.exponential(options_.mean_cost));
+      const double cost = std::min(options_.max_cost, 1 + random_.exponential(options_.mean_cost));
       remaining_demand -= cost;
       const size_t index = target_router_ == SIZE_MAX ? random_.below(routers_.size()) : target_router_;
       handle_request(*routers_[index], static_cast<int64_t>(cost));
--- a/tests/support/raw_client.h
+++ b/tests/support/raw_client.h
@@ -55,7 +55,7 @@
   }
   /// Returns whether the peer closed the connection, or reading from it failed.
   bool closed() const { return closed_; }
-  void forget_input() { input_.clear(); }
+  void discard_input() { input_.clear(); }
 
  private:
   void read_some(std::chrono::steady_clock::time_point deadline) {
@@ -80,7 +80,7 @@
 };
 
 /// Counts the non-overlapping occurrences of `pattern` in `content`.
-inline size_t count_of(const std::string& content, const std::string& pattern) {
+inline size_t count_occurrences(const std::string& content, const std::string& pattern) {
   size_t count = 0;
   for (size_t position = content.find(pattern); position != std::string::npos;
        position = content.find(pattern, position + pattern.size())) {
--- a/tests/support/drawn_rollout.h
+++ b/tests/support/simulated_rollout.h
@@ -47,7 +47,7 @@
 };
 
 /// Draws the conditions of a rollout. `bad`: the target version has a fault.
-inline RolloutConditions draw_rollout(uint64_t seed, bool bad) {
+inline RolloutConditions random_rollout_conditions(uint64_t seed, bool bad) {
   Random random(seed);
   const auto uniform = [&](double low, double high) { return low + (high - low) * random.unit(); };
   const auto log_uniform = [&](double low, double high) { return low * std::pow(high / low, random.unit()); };
@@ -100,9 +100,10 @@
 }
 
 /// See the top of this file.
-class DrawnRollout {
+class SimulatedRollout {
  public:
-  DrawnRollout(const RolloutConditions& conditions, uint64_t seed) : conditions_(conditions), random_(seed) {
+  SimulatedRollout(const RolloutConditions& conditions, uint64_t seed)
+      : conditions_(conditions), random_(seed) {
     rollout_.service = "s";
     rollout_.id = 1;
     rollout_.step = 1;
@@ -130,12 +131,12 @@
   const fleet::ServiceRollout& rollout() const { return rollout_; }
   /// Returns whether a faulty version received more requests than the exposure bounds allow before the
   /// switch.
-  bool got_too_many() const { return too_many_; }
+  bool exceeded_exposure_bounds() const { return too_many_; }
   /// Returns whether a faulty version still received requests later than kMaxRollbackTime after its
   /// kBadResponsesBeforeRollback-th bad response, before the switch.
-  bool got_it_too_long() const { return too_long_; }
+  bool rolled_back_too_late() const { return too_long_; }
   /// Returns the number of bad responses before the switch, or until the end if there was none.
-  double bad_before_switch() const { return bad_responses_; }
+  double bad_responses_before_switch() const { return bad_responses_; }
 
  private:
   static constexpr Duration kStep = 200ms;
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -19,7 +19,7 @@
 namespace stoat::test {
 
 /// Records the orders to engines and accepts all of them. Provides no reports and no cache events.
-class NotedOrders : public control::EngineInterface {
+class RecordingEngineOrders : public control::EngineInterface {
  public:
   void send(const control::LoadWeightsOrder& order,
             std::function<void(control::OrderAnswer)> on_answer) override {
@@ -83,13 +83,13 @@
 }
 
 /// Returns the headers that identify a response as the backend's own response to a request.
-inline std::string own_headers(const standins::SeenRequest& request) {
+inline std::string engine_headers(const standins::SeenRequest& request) {
   return "X-Request-Id: " + request.header("X-Request-Id") + "\r\nX-Answer-Signature: s\r\n";
 }
 
 /// Returns a script that answers a request with status 200.
 inline standins::Script succeed(const standins::SeenRequest& request, const std::string& body = "body") {
-  return {standins::send_step(standins::whole_answer(200, own_headers(request), body))};
+  return {standins::send_step(standins::whole_answer(200, engine_headers(request), body))};
 }
 
 /// Returns the protocol version and status code of a response, such as "HTTP/1.1 200".
@@ -129,7 +129,7 @@
   ~SmallFleet() override {
     loop_.post([this] { loop_.stop(); });
     router_thread_.join();
-    silence_control();
+    freeze_control();
     additional_routers_.clear();
     router_.reset();
     control_.reset();
@@ -137,7 +137,7 @@
   }
 
   /// Stops the control member's event loop, as if its machine were frozen.
-  void silence_control() {
+  void freeze_control() {
     if (control_thread_.joinable()) {
       control_loop_.post([this] { control_loop_.stop(); });
       control_thread_.join();
@@ -145,7 +145,7 @@
   }
   /// Runs `action` on the routers' thread, waits for it, and returns its result.
   template <typename Action>
-  auto on_loop(Action action) {
+  auto run_on_router_loop(Action action) {
     return run_on(loop_, std::move(action));
   }
   /// Waits until the condition, evaluated on the routers' thread, holds. Returns false if it does not within
@@ -153,7 +153,7 @@
   template <typename Condition>
   bool wait_for(const Condition& condition) {
     for (int attempt = 0; attempt < 500; ++attempt) {
-      if (on_loop([&] { return condition(); })) {
+      if (run_on_router_loop([&] { return condition(); })) {
         return true;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -164,7 +164,7 @@
   /// Starts an additional router and returns its port once it is ready.
   uint16_t add_router() {
     const std::string name = "r" + std::to_string(additional_routers_.size() + 2);
-    on_loop([&] {
+    run_on_router_loop([&] {
       additional_routers_.push_back(make_router(name));
       return true;
     });
@@ -295,7 +295,7 @@
   EventLoop loop_;  ///< of all routers
   dispatch::HeaderNames header_names_;
   gateway::GatewaySettings router_settings_;  ///< of the router created last
-  NotedOrders engine_orders_;
+  RecordingEngineOrders engine_orders_;
   std::filesystem::path data_folder_;
   uint16_t router_port_ = 0;
   Endpoint control_endpoint_;  ///< for the internal protocol between routers and control members
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -70,7 +70,7 @@
   Script answer(const SeenRequest& seen) {
     const auto now = Clock::now();
     const std::string router = seen.header("X-Via");
-    std::string headers = test::own_headers(seen);
+    std::string headers = test::engine_headers(seen);
     const std::lock_guard<std::mutex> lock(mutex_);
     arrivals_.emplace_back(now, router);
     if (reporting_) {
--- a/tests/unit/edge_test.cc
+++ b/tests/unit/edge_test.cc
@@ -11,7 +11,7 @@
 namespace stoat {
 namespace {
 
-using test::count_of;
+using test::count_occurrences;
 using test::RawClient;
 
 /// Responds to each request with its target and body.
@@ -73,7 +73,7 @@
     const std::string response = client.read_all();
     EXPECT_TRUE(client.closed()) << bytes;
     EXPECT_EQ(response.substr(0, 12), "HTTP/1.1 400") << bytes;
-    EXPECT_EQ(count_of(response, "\r\nContent-Length: "), 1U) << response;
+    EXPECT_EQ(count_occurrences(response, "\r\nContent-Length: "), 1U) << response;
     EXPECT_EQ(response.find("smuggled"), std::string::npos) << bytes;
     EXPECT_EQ(handler_.requests, before) << bytes;
   }
@@ -90,7 +90,7 @@
       "POST /a?b=%20c HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
       "POST /d HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n"
       "GET /e HTTP/1.1\r\nHost: h\r\n\r\n");
-  EXPECT_EQ(count_of(responses, "HTTP/1.1 200"), 3U);
+  EXPECT_EQ(count_occurrences(responses, "HTTP/1.1 200"), 3U);
   EXPECT_NE(responses.find("POST /a?b=%20c [xyz]"), std::string::npos);
   EXPECT_NE(responses.find("POST /d [hi!]"), std::string::npos);
   EXPECT_NE(responses.find("GET /e []"), std::string::npos);
--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -16,7 +16,7 @@
 namespace {
 
 using test::FakeEngine;
-using test::FakeRun;
+using test::FakeRequestTimes;
 
 constexpr size_t kSlots = 16;
 constexpr double kFastTokensPerMs = 93;
@@ -86,7 +86,7 @@
     queue.waiting_tokens = static_cast<uint64_t>(engines_[engine].waiting_tokens(now_ms_));
     const auto own_tokens = static_cast<uint64_t>(tokens);
     const double expected = expect_first_event(service_, speeds_[engine], queue, own_tokens).total_ms();
-    const FakeRun run = engines_[engine].take(now_ms_, tokens, random_.exponential(kAnswerMs));
+    const FakeRequestTimes run = engines_[engine].take(now_ms_, tokens, random_.exponential(kAnswerMs));
     sent_.push({run.first_event_ms, engine, queue.waiting_tokens, own_tokens, queue.own_outstanding < kSlots,
                 now_ms_, run.end_ms});
     if (measured) {
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -13,14 +13,14 @@
   EXPECT_FALSE(members_[0]->commit(put(1)));  // one voter of three: the loss of its disk would lose the write
   start(1, true);
   start(2, true);
-  EXPECT_TRUE(commit_somewhere(1, 2));  // also through a follower
+  EXPECT_TRUE(commit_eventually(1, 2));  // also through a follower
   EXPECT_EQ(members_[0]->voters(), 3U);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v1"); }));
 }
 
 TEST_F(FleetMembersTest, WriteDuringLeaderFailureIsAcknowledgedWithoutRetry) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3 && members_[2]->voters() == 3; }));
   for (const size_t position : {0, 1, 2}) {
     if (members_.count(position) == 0 || !members_[position]->leads()) {
@@ -37,30 +37,30 @@
 
 TEST_F(FleetMembersTest, MemberThatLostItsDiskRejoins) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   members_.erase(1);
   std::filesystem::remove_all(folder(1));
   start(1, false);
-  ASSERT_TRUE(commit_somewhere(2, 1));
+  ASSERT_TRUE(commit_eventually(2, 1));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3; }));
   // Its disk counts towards the quorum again: without the member that bootstrapped the fleet, the other two
   // continue with the complete state.
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   members_.erase(0);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v2"); }));
-  EXPECT_TRUE(commit_somewhere(3, 2));
+  EXPECT_TRUE(commit_eventually(3, 2));
 }
 
 TEST_F(FleetMembersTest, MemberAtANewAddressReplacesALostOne) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   members_.erase(2);
   start(3, false);
   ASSERT_TRUE(eventually([&] { return members_[3]->read() == std::optional<std::string>("v1"); }));
   ASSERT_TRUE(eventually([&] { return members_[0]->voters() == 3; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   members_.erase(1);  // a second loss, after the first member was replaced
-  EXPECT_TRUE(commit_somewhere(2, 3));
+  EXPECT_TRUE(commit_eventually(2, 3));
 }
 
 TEST_F(FleetMembersTest, EmptyMembersDoNotBootstrapWithoutFirstStart) {
@@ -76,7 +76,7 @@
   // Regression test from runs with large fleets: what the leader knew of engines and of announced weight
   // versions was lost with it.
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   fleet::BackendRecord engine;
   engine.id = "e1";
   engine.service = "models";
@@ -101,7 +101,7 @@
 TEST_F(FleetMembersTest, AcknowledgedWritesSurviveARestartOfAllMembers) {
   start_all();
   for (uint64_t version = 1; version <= 25; ++version) {
-    ASSERT_TRUE(commit_somewhere(version, version % 3));
+    ASSERT_TRUE(commit_eventually(version, version % 3));
   }
   members_.clear();
   for (size_t i = 0; i < 3; ++i) {
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -12,7 +12,7 @@
 using standins::send_step;
 using standins::wait_step;
 using standins::whole_answer;
-using test::count_of;
+using test::count_occurrences;
 using test::RawClient;
 using test::status_of;
 
@@ -257,7 +257,7 @@
   const std::string response =
       ask("POST", "/resume/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   for (int id = 1; id <= 3; ++id) {
-    EXPECT_EQ(count_of(response, event(id)), 1U) << response;
+    EXPECT_EQ(count_occurrences(response, event(id)), 1U) << response;
   }
   EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
 }
@@ -362,7 +362,7 @@
   // Acts as another router towards the control plane.
   auto received_placements = std::make_shared<std::vector<fleet::ChainPlacement>>();
   auto first_message_received = std::make_shared<std::atomic<bool>>(false);
-  const auto channel = on_loop([&] {
+  const auto channel = run_on_router_loop([&] {
     auto new_channel = wire::Channel::connect(
         loop_, control_endpoint_,
         [received_placements, first_message_received](const std::shared_ptr<wire::Channel>&,
@@ -387,7 +387,7 @@
   EXPECT_EQ(received_placements->front().holder, "e1");
   EXPECT_EQ(received_placements->front().weights, 1U);
   EXPECT_EQ(received_placements->front().links.size(), 1U);  // the last part belongs to the request alone
-  on_loop([&] {
+  run_on_router_loop([&] {
     channel->close();
     return true;
   });
@@ -470,7 +470,7 @@
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
-  silence_control();
+  freeze_control();
   std::this_thread::sleep_for(std::chrono::milliseconds(4700));
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 503");
   EXPECT_EQ(status_of(ask("GET", "/open/", "q3")), "HTTP/1.1 200");
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -138,7 +138,7 @@
 
 TEST_F(BackendBackoffTest, BackEndThatAnnouncesItsShutdownInAResponseGetsNoFurtherRequests) {
   ScriptedEngine leaving([](const SeenRequest& seen) -> Script {
-    return {send_step(whole_answer(200, test::own_headers(seen) + "X-Leaving: 1\r\n", "body"))};
+    return {send_step(whole_answer(200, test::engine_headers(seen) + "X-Leaving: 1\r\n", "body"))};
   });
   ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
   add_engine("leaving", "calls", leaving);
--- a/tests/unit/slow_readers_test.cc
+++ b/tests/unit/slow_readers_test.cc
@@ -131,11 +131,11 @@
   for (int pause = 0; pause < 4; ++pause) {
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     received += client.read_all(std::chrono::milliseconds(50)).size();
-    client.forget_input();
+    client.discard_input();
   }
   while (!client.closed() && received < kResponseBytes) {
     received += client.read_until("\r\n0\r\n\r\n", std::chrono::milliseconds(200)).size();
-    client.forget_input();
+    client.discard_input();
   }
   EXPECT_GE(received, kResponseBytes);
   EXPECT_EQ(handler_.disconnects, 0);
@@ -150,7 +150,7 @@
   for (int pause = 0; pause < 6; ++pause) {
     std::this_thread::sleep_for(std::chrono::milliseconds(600));
     received += client.read_all(std::chrono::milliseconds(1)).size();
-    client.forget_input();
+    client.discard_input();
   }
   received += client.read_all(std::chrono::seconds(10)).size();
   EXPECT_GE(received, kResponseBytes);
