--- a/simulation/control_faults.cc
+++ b/simulation/control_faults.cc
@@ -98,12 +98,12 @@
       cut_between(position, random_.below(members_.size()));
       break;
     case 5:
-      network_.faults.loss = random_.unit() * 0.3;
-      network_.faults.duplication = random_.unit() * 0.2;
+      network_.faults.loss = random_.uniform_real() * 0.3;
+      network_.faults.duplication = random_.uniform_real() * 0.2;
       network_.faults.most_delay = Duration(random_.between(1000, 120000));
       break;
     case 6:
-      member.set_clock_rate(0.8 + 0.4 * random_.unit());
+      member.set_clock_rate(0.8 + 0.4 * random_.uniform_real());
       break;
     case 7:
       random_wipe();
--- a/simulation/control_simulation.cc
+++ b/simulation/control_simulation.cc
@@ -68,7 +68,8 @@
     }
     network_.send(members_[from]->name(), members_[to]->name(), [this, to, message] {
       // A message for a former identity is dropped by the replica itself.
-      members_[to]->run([message](control::ControlCore& core, TimePoint now) { core.on_peer(message, now); });
+      members_[to]->run(
+          [message](control::ControlCore& core, TimePoint now) { core.on_peer_message(message, now); });
     });
   }
 }
@@ -150,8 +151,9 @@
   const control::Command command = call.command;
   const size_t target = call.target;
   network_.send("client", members_[target]->name(), [this, target, token, command] {
-    members_[target]->run(
-        [token, command](control::ControlCore& core, TimePoint now) { core.call(token, command, now); });
+    members_[target]->run([token, command](control::ControlCore& core, TimePoint now) {
+      core.propose_command(token, command, now);
+    });
   });
 }
 
--- a/src/admission/backend_limits.cc
+++ b/src/admission/backend_limits.cc
@@ -83,7 +83,7 @@
   return limited.permits > 0 && now >= limited.usable_from && now < limited.usable_until;
 }
 
-bool BackendLimits::spend(const std::string& backend, TimePoint now) {
+bool BackendLimits::consume_permit(const std::string& backend, TimePoint now) {
   if (!may_send(backend, now)) {
     return false;
   }
@@ -95,7 +95,7 @@
   return true;
 }
 
-void BackendLimits::give_back(const std::string& backend, TimePoint sent_at, TimePoint now) {
+void BackendLimits::return_permit(const std::string& backend, TimePoint sent_at, TimePoint now) {
   const auto known = limited_backends_.find(backend);
   if (known == limited_backends_.end()) {
     return;
@@ -114,7 +114,7 @@
   return limited.unmet_requests > 0 && !holds_permits && !pending && now >= limited.retry_at;
 }
 
-bool BackendLimits::want(const std::string& backend, TimePoint now) {
+bool BackendLimits::note_unmet_request(const std::string& backend, TimePoint now) {
   const auto known = limited_backends_.find(backend);
   if (known == limited_backends_.end()) {
     return false;
@@ -171,7 +171,7 @@
   limited.usable_until = limited.requested_at + wait + kPermitLifetime;
 }
 
-void BackendLimits::on_answer(const fleet::PermitResponse& answer, TimePoint now) {
+void BackendLimits::on_permit_answer(const fleet::PermitResponse& answer, TimePoint now) {
   for (const fleet::GrantedPermits& terms : answer.terms) {
     const auto known = limited_backends_.find(terms.backend);
     if (known != limited_backends_.end() && known->second.pending_request == answer.number) {
--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -56,13 +56,13 @@
   /// Returns whether a request may be sent to a backend now.
   bool may_send(const std::string& backend, TimePoint now) const;
   /// Consumes a permit if the backend needs one. Returns false if the request may not be sent.
-  bool spend(const std::string& backend, TimePoint now);
+  bool consume_permit(const std::string& backend, TimePoint now);
   /// Returns the permit of a request that was sent at `sent_at` but did not reach the backend. Does nothing
   /// if the permit has expired or belongs to an earlier grant.
-  void give_back(const std::string& backend, TimePoint sent_at, TimePoint now);
+  void return_permit(const std::string& backend, TimePoint sent_at, TimePoint now);
   /// Records that a request could not be sent for lack of a permit. Returns true if permits should be
   /// requested from the control plane now.
-  bool want(const std::string& backend, TimePoint now);
+  bool note_unmet_request(const std::string& backend, TimePoint now);
   /// Returns the earliest time at which a request may be sent to a backend; nullopt if this depends on an
   /// answer from the control plane that has not arrived yet.
   std::optional<TimePoint> earliest_send_time(const std::string& backend, TimePoint now) const;
@@ -70,7 +70,7 @@
   /// are needed.
   fleet::PermitRequest take_permit_request(TimePoint now);
   /// Applies the answer to a permit request. Answers to requests that are no longer pending are ignored.
-  void on_answer(const fleet::PermitResponse& answer, TimePoint now);
+  void on_permit_answer(const fleet::PermitResponse& answer, TimePoint now);
 
   /// Returns whether there are limit changes that the control plane has not been sent.
   bool has_unreported() const { return !unreported_.empty(); }
--- a/src/admission/fair_queue.cc
+++ b/src/admission/fair_queue.cc
@@ -8,24 +8,26 @@
 
 constexpr double kMinShare = 1e-6;
 
-double virtual_cost(const Waiting& waiting) { return waiting.cost / std::max(waiting.share, kMinShare); }
+double virtual_cost(const FairQueueEntry& waiting) {
+  return waiting.cost / std::max(waiting.share, kMinShare);
+}
 
 }  // namespace
 
-void FairQueue::push(const Waiting& waiting) {
+void FairQueue::push(const FairQueueEntry& waiting) {
   PriorityClass& priority_class = classes_[waiting.priority];
   Flow& flow = priority_class.flows[waiting.flow];
   if (flow.requests.empty()) {
     // An idle flow gets no credit for the time it did not use.
     flow.virtual_time = std::max(flow.virtual_time, priority_class.virtual_time);
   }
-  const auto later = [](TimePoint due, const Waiting& entry) { return due < entry.due; };
+  const auto later = [](TimePoint due, const FairQueueEntry& entry) { return due < entry.due; };
   flow.requests.insert(std::upper_bound(flow.requests.begin(), flow.requests.end(), waiting.due, later),
                        waiting);
   ++size_;
 }
 
-std::optional<Waiting> FairQueue::pop(const std::function<bool(const Waiting&)>& eligible) {
+std::optional<FairQueueEntry> FairQueue::pop(const std::function<bool(const FairQueueEntry&)>& eligible) {
   for (auto& [priority, priority_class] : classes_) {
     Flow* next_flow = nullptr;
     for (auto& [name, flow] : priority_class.flows) {
@@ -37,7 +39,7 @@
     if (next_flow == nullptr) {
       continue;
     }
-    Waiting waiting = std::move(next_flow->requests.front());
+    FairQueueEntry waiting = std::move(next_flow->requests.front());
     next_flow->requests.pop_front();
     --size_;
     priority_class.virtual_time = std::max(priority_class.virtual_time, next_flow->virtual_time);
@@ -47,7 +49,7 @@
   return std::nullopt;
 }
 
-void FairQueue::put_back(const Waiting& waiting) {
+void FairQueue::put_back(const FairQueueEntry& waiting) {
   Flow& flow = classes_[waiting.priority].flows[waiting.flow];
   flow.virtual_time -= virtual_cost(waiting);
   flow.requests.push_front(waiting);
@@ -59,7 +61,7 @@
     for (auto& [name, flow] : priority_class.flows) {
       const auto found =
           std::find_if(flow.requests.begin(), flow.requests.end(),
-                       [&](const Waiting& waiting) { return waiting.request_id == request_id; });
+                       [&](const FairQueueEntry& waiting) { return waiting.request_id == request_id; });
       if (found != flow.requests.end()) {
         flow.requests.erase(found);
         --size_;
@@ -77,7 +79,7 @@
       break;
     }
     for (const auto& [name, flow] : priority_class.flows) {
-      for (const Waiting& waiting : flow.requests) {
+      for (const FairQueueEntry& waiting : flow.requests) {
         cost += waiting.cost;
       }
     }
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -13,7 +13,7 @@
 namespace stoat::admission {
 
 /// The properties of a waiting request that determine its order.
-struct Waiting {
+struct FairQueueEntry {
   uint64_t request_id = 0;
   std::string flow;  ///< the tenant
   int32_t priority = 0;
@@ -27,11 +27,11 @@
 /// share.
 class FairQueue {
  public:
-  void push(const Waiting& waiting);
+  void push(const FairQueueEntry& waiting);
   /// Removes and returns the next request whose flow is eligible; nullopt if there is none.
-  std::optional<Waiting> pop(const std::function<bool(const Waiting&)>& eligible);
+  std::optional<FairQueueEntry> pop(const std::function<bool(const FairQueueEntry&)>& eligible);
   /// Puts a request that pop() just removed, but that could not be started, back at the head of its flow.
-  void put_back(const Waiting& waiting);
+  void put_back(const FairQueueEntry& waiting);
   /// Removes a request. Returns false if it is not queued.
   bool remove(uint64_t request_id);
   size_t size() const { return size_; }
@@ -40,7 +40,7 @@
 
  private:
   struct Flow {
-    std::deque<Waiting> requests;
+    std::deque<FairQueueEntry> requests;
     double virtual_time = 0;
   };
   struct PriorityClass {
--- a/src/admission/permit_issuer.cc
+++ b/src/admission/permit_issuer.cc
@@ -4,7 +4,7 @@
 
 namespace stoat::admission {
 
-void PermitIssuer::begin(TimePoint now) {
+void PermitIssuer::start_leading(TimePoint now) {
   backends_.clear();
   grants_from_ = now + kPermitTakeoverDelay;
 }
--- a/src/admission/permit_issuer.h
+++ b/src/admission/permit_issuer.h
@@ -46,7 +46,7 @@
  public:
   /// Called when this member becomes the leader. It has granted nothing yet, but the previous leader may
   /// have.
-  void begin(TimePoint now);
+  void start_leading(TimePoint now);
   /// Grants up to `count` permits for a backend with a limit of `per_second` requests per second.
   PermitGrant ask(const std::string& backend, double per_second, uint32_t count, TimePoint now);
   /// Drops backends whose next permit could start immediately.
--- a/src/admission/quota_enforcer.h
+++ b/src/admission/quota_enforcer.h
@@ -42,7 +42,7 @@
   /// Handles a level received from the control plane.
   void on_level(const fleet::QuotaLevel& level);
   /// Records that an update from the control plane arrived, so that levels not included in it remain valid.
-  void on_news(TimePoint now) { last_update_at_ = now; }
+  void note_update(TimePoint now) { last_update_at_ = now; }
   /// Called when another member begins to send its levels. Unconfirmed spending will be reported to that
   /// member again.
   void on_member_change();
@@ -53,7 +53,7 @@
   /// Charges a request that is sent again after it may have run.
   void charge(const std::string& tenant, int64_t cost, TimePoint now);
   /// Reverses the charge of a request that is known not to have run.
-  void give_back(const std::string& tenant, int64_t cost, TimePoint now) { charge(tenant, -cost, now); }
+  void refund(const std::string& tenant, int64_t cost, TimePoint now) { charge(tenant, -cost, now); }
 
   /// Returns whether there is spending to report.
   bool has_unreported() const { return !unreported_.empty(); }
--- a/src/admission/quota_ledger.cc
+++ b/src/admission/quota_ledger.cc
@@ -137,7 +137,7 @@
   }
 }
 
-void QuotaLedger::on_router(const std::vector<fleet::TenantSpending>& spending, TimePoint now) {
+void QuotaLedger::record_router_spending(const std::vector<fleet::TenantSpending>& spending, TimePoint now) {
   for (const fleet::TenantSpending& entry : spending) {
     const auto found = accounts_.find(entry.tenant);
     if (found == accounts_.end()) {
@@ -149,8 +149,8 @@
   }
 }
 
-void QuotaLedger::on_peer(const std::string& peer, uint64_t start_id, SumsScope scope,
-                          const std::vector<fleet::TenantSpending>& sums, TimePoint now) {
+void QuotaLedger::record_peer_sums(const std::string& peer, uint64_t start_id, SumsScope scope,
+                                   const std::vector<fleet::TenantSpending>& sums, TimePoint now) {
   Peer& entry = peers_[peer];
   const bool same_run = entry.start_id == start_id;
   if (scope == SumsScope::kChanged && !same_run) {
@@ -173,7 +173,8 @@
   }
 }
 
-void QuotaLedger::adopt(const std::vector<fleet::WindowSpending>& windows, Duration age, TimePoint now) {
+void QuotaLedger::adopt_window_spending(const std::vector<fleet::WindowSpending>& windows, Duration age,
+                                        TimePoint now) {
   if (age <= this->age(now) || this->age(now) > tolerance_.window) {
     return;
   }
--- a/src/admission/quota_ledger.h
+++ b/src/admission/quota_ledger.h
@@ -44,13 +44,13 @@
   /// to it.
   void configure(const std::vector<fleet::Tenant>& tenants, TimePoint now);
   /// Records spending reported by a router of this member.
-  void on_router(const std::vector<fleet::TenantSpending>& spending, TimePoint now);
+  void record_router_spending(const std::vector<fleet::TenantSpending>& spending, TimePoint now);
   /// Records another member's sums of what its routers have spent since its start.
-  void on_peer(const std::string& peer, uint64_t start_id, SumsScope scope,
-               const std::vector<fleet::TenantSpending>& sums, TimePoint now);
+  void record_peer_sums(const std::string& peer, uint64_t start_id, SumsScope scope,
+                        const std::vector<fleet::TenantSpending>& sums, TimePoint now);
   /// Takes over what another member knows about spending in the current window, if that member has counted
   /// for longer.
-  void adopt(const std::vector<fleet::WindowSpending>& windows, Duration age, TimePoint now);
+  void adopt_window_spending(const std::vector<fleet::WindowSpending>& windows, Duration age, TimePoint now);
   /// Determines which tenants are metered and which levels to send. Must be called several times a second.
   /// `unheard_share`: fraction of the routers whose spending currently can't reach this member.
   void update(double unheard_share, TimePoint now);
@@ -64,7 +64,7 @@
   Duration age(TimePoint now) const { return now - counting_since_; }
   uint64_t start_id() const { return start_id_; }
   /// Returns the levels for the routers, in order of change.
-  const fleet::RevisionTable<std::string, fleet::QuotaLevel>& told() const { return levels_; }
+  const fleet::RevisionTable<std::string, fleet::QuotaLevel>& levels() const { return levels_; }
   /// Returns the number of tenants that are currently metered.
   size_t metered() const { return metered_; }
   /// Returns the levels of the tenants for which metering began or ended since the previous call.
--- a/src/admission/request_queue.cc
+++ b/src/admission/request_queue.cc
@@ -12,7 +12,7 @@
 
 uint64_t RequestQueue::push(const QueuedRequest& request, QueueCallbacks callbacks) {
   const uint64_t number = ++last_number_;
-  Waiting waiting;
+  FairQueueEntry waiting;
   waiting.request_id = number;
   waiting.flow = request.tenant;
   waiting.priority = to_priority(request.urgency);
@@ -30,7 +30,7 @@
 }
 
 void RequestQueue::send_ready() {
-  const auto has_room = [this](const Waiting& waiting) {
+  const auto has_room = [this](const FairQueueEntry& waiting) {
     return callbacks_.at(waiting.request_id).has_room();
   };
   while (const auto next = queue_.pop(has_room)) {
--- a/src/admission/retry_scheduler.cc
+++ b/src/admission/retry_scheduler.cc
@@ -25,8 +25,8 @@
   std::erase_if(retry_queues_, [](const auto& entry) { return entry.second.length <= 0; });
 }
 
-Duration RetryScheduler::book(const RefusedRequest& request, double per_second, Random& random,
-                              TimePoint now) {
+Duration RetryScheduler::schedule_retry(const RefusedRequest& request, double per_second, Random& random,
+                                        TimePoint now) {
   const double rate = std::max(kMinPerSecond, per_second);
   drain(rate, now);
   RetryQueue& queue = retry_queues_[request.tenant];
@@ -37,7 +37,7 @@
   const double relative_time_left =
       queue.mean_time_left_s > 0 ? std::min(kMaxRelativeTimeLeft, time_left_s / queue.mean_time_left_s) : 1;
   // The random offset separates routers that refuse at the same moment.
-  const double place = queue.length * relative_time_left + random.unit();
+  const double place = queue.length * relative_time_left + random.uniform_real();
   queue.length += 1;
   const double own_rate = rate / static_cast<double>(retry_queues_.size());
   return std::min(max_delay_, request.time_to_room + from_seconds(place / own_rate));
--- a/src/admission/retry_scheduler.h
+++ b/src/admission/retry_scheduler.h
@@ -29,7 +29,7 @@
 
   /// Returns the delay after which the caller is asked to retry. `per_second`: the rate of requests that the
   /// service takes from this router.
-  Duration book(const RefusedRequest& request, double per_second, Random& random, TimePoint now);
+  Duration schedule_retry(const RefusedRequest& request, double per_second, Random& random, TimePoint now);
 
  private:
   /// The callers of one tenant that are expected to retry.
--- a/src/common/random.h
+++ b/src/common/random.h
@@ -20,10 +20,10 @@
   }
 
   /// A uniform real in [0, 1).
-  double unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
+  double uniform_real() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
 
   /// True with the given probability.
-  bool chance(double probability) { return unit() < probability; }
+  bool chance(double probability) { return uniform_real() < probability; }
 
   /// An exponentially distributed real with the given mean.
   double exponential(double mean) { return std::exponential_distribution<double>(1.0 / mean)(engine_); }
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -87,7 +87,7 @@
                const MemberList& members);
   /// Transfers leadership before a planned stop: asks the most up-to-date voter to start an election. Returns
   /// false when this member is not the leader or no other voter has the whole log yet.
-  bool hand_over(TimePoint now);
+  bool transfer_leadership(TimePoint now);
 
   Role role() const { return role_; }
   bool leads() const { return role_ == Role::kLeader; }
--- a/src/consensus/replica_leader.cc
+++ b/src/consensus/replica_leader.cc
@@ -322,7 +322,7 @@
   return found == progress_.end() ? TimePoint(0) : found->second.last_response;
 }
 
-bool Replica::hand_over(TimePoint now) {
+bool Replica::transfer_leadership(TimePoint now) {
   if (role_ != Role::kLeader) {
     return false;
   }
--- a/src/control/assigned_caches.cc
+++ b/src/control/assigned_caches.cc
@@ -4,7 +4,7 @@
 
 bool AssignedCaches::update(const BackendTable& backends, const StoreZones& stores,
                             const std::vector<LiveMember>& members, TimePoint now) {
-  const bool full = members != members_ || stores != stores_ || !backends.reaches(revision_) ||
+  const bool full = members != members_ || stores != stores_ || !backends.can_update_from(revision_) ||
                     last_full_evaluation_ == TimePoint(0) ||
                     now - last_full_evaluation_ > kFullEvaluationInterval;
   if (full) {
--- a/src/control/assigned_caches.h
+++ b/src/control/assigned_caches.h
@@ -39,9 +39,9 @@
   /// Ids of the backends removed since the last call. A re-evaluation of all caches clears them.
   std::vector<std::string> take_removed_backends() { return std::exchange(removed_, {}); }
   /// True for any cache of the fleet, whichever member follows it.
-  bool knows(const std::string& holder) const { return holders_.count(holder) > 0; }
+  bool contains(const std::string& holder) const { return holders_.count(holder) > 0; }
   /// The caches assigned to this member, by holder: id of a backend, or address of a store.
-  const std::map<std::string, AssignedCache>& mine() const { return assigned_; }
+  const std::map<std::string, AssignedCache>& assigned() const { return assigned_; }
   /// Number of caches evaluated since the start.
   uint64_t evaluations() const { return evaluations_; }
 
--- a/src/control/cache_event_poller.cc
+++ b/src/control/cache_event_poller.cc
@@ -34,7 +34,7 @@
     known->second = holdings.size();
     holdings.push_back(holding);
   }
-  if (changes.anew) {
+  if (changes.is_full_state) {
     std::erase_if(holdings, [](const fleet::CachedPart& holding) { return holding.tokens == 0; });
   }
   changes.holdings = std::move(holdings);
@@ -107,7 +107,7 @@
 
 void CacheEventPoller::discard_contents(Cache& cache) {
   cache.unreported.holdings.clear();
-  cache.unreported.anew = true;
+  cache.unreported.is_full_state = true;
   cache.report_due = true;
 }
 
@@ -148,7 +148,7 @@
     fleet::CacheChanges changes = std::exchange(cache.unreported, {});
     changes.holder = cache.followed.holder;
     changes.store = cache.followed.store;
-    changes.followed = cache.reachable;
+    changes.is_subscribed = cache.reachable;
     changes.claim = cache.followed.claim;
     changes.epoch = cache.followed.epoch;
     changes.next_event = cache.followed.next_event;
--- a/src/control/cache_index.cc
+++ b/src/control/cache_index.cc
@@ -22,16 +22,16 @@
   cache.follower = follower;
   cache.claim = changes.claim;
   cache.store = changes.store;
-  cache.followed = changes.followed;
+  cache.followed = changes.is_subscribed;
   cache.epoch = changes.epoch;
   cache.next_event = changes.next_event;
-  if (changes.anew) {
+  if (changes.is_full_state) {
     remove_parts(changes.holder, cache);
   }
   for (const fleet::CachedPart& holding : changes.holdings) {
     set_holding(changes.holder, cache, holding);
   }
-  statuses_.set(changes.holder, {changes.store, changes.followed});
+  statuses_.set(changes.holder, {changes.store, changes.is_subscribed});
   return true;
 }
 
@@ -107,7 +107,7 @@
   }
 }
 
-bool CacheIndex::told(const fleet::ChainPlacement& placement) const {
+bool CacheIndex::is_published(const fleet::ChainPlacement& placement) const {
   const Cache* cache = find(placement.holder);
   if (cache == nullptr || !cache->followed) {
     return false;
@@ -137,7 +137,7 @@
   caches_.erase(known);
 }
 
-void CacheIndex::keep(const std::function<bool(const std::string&)>& wanted) {
+void CacheIndex::retain(const std::function<bool(const std::string&)>& wanted) {
   std::vector<std::string> unwanted;
   for (const auto& [holder, cache] : caches_) {
     if (!wanted(holder)) {
@@ -154,13 +154,13 @@
   return found == caches_.end() ? nullptr : &found->second;
 }
 
-fleet::CacheChanges CacheIndex::whole(const std::string& holder) const {
+fleet::CacheChanges CacheIndex::full_contents(const std::string& holder) const {
   fleet::CacheChanges changes;
   changes.holder = holder;
-  changes.anew = true;
+  changes.is_full_state = true;
   if (const Cache* cache = find(holder)) {
     changes.store = cache->store;
-    changes.followed = cache->followed;
+    changes.is_subscribed = cache->followed;
     changes.claim = cache->claim;
     changes.epoch = cache->epoch;
     changes.next_event = cache->next_event;
--- a/src/control/cache_index.h
+++ b/src/control/cache_index.h
@@ -60,18 +60,18 @@
   bool shared(uint64_t part) const { return shared_parts_.count(part) > 0; }
   /// True when the cache is followed and routers already know that it holds all parts of the placement, made
   /// by the same or newer weights.
-  bool told(const fleet::ChainPlacement& placement) const;
+  bool is_published(const fleet::ChainPlacement& placement) const;
   /// Handles the loss of a member: the caches that it followed are no longer followed by any member.
   void on_follower_lost(const std::string& follower);
   /// Removes a cache.
   void drop(const std::string& holder);
   /// Removes all caches for which `wanted` returns false.
-  void keep(const std::function<bool(const std::string& holder)>& wanted);
+  void retain(const std::function<bool(const std::string& holder)>& wanted);
 
   /// The cache of a holder, or nullptr when it is unknown.
   const Cache* find(const std::string& holder) const;
   /// The full contents of a cache, as changes that replace all that the receiver knows of it.
-  fleet::CacheChanges whole(const std::string& holder) const;
+  fleet::CacheChanges full_contents(const std::string& holder) const;
   /// Holders of the caches that a member follows.
   std::vector<std::string> followed_by(const std::string& follower) const;
   std::vector<uint64_t> shared_parts() const { return {shared_parts_.begin(), shared_parts_.end()}; }
--- a/src/control/control_core.cc
+++ b/src/control/control_core.cc
@@ -14,7 +14,7 @@
   }
 }
 
-void ControlCore::on_peer(const consensus::Message& message, TimePoint now) {
+void ControlCore::on_peer_message(const consensus::Message& message, TimePoint now) {
   replica_.receive(message, now);
 }
 
@@ -68,7 +68,7 @@
   pending_reads_.clear();
 }
 
-void ControlCore::call(uint64_t token, const Command& command, TimePoint now) {
+void ControlCore::propose_command(uint64_t token, const Command& command, TimePoint now) {
   const uint64_t index = replica_.propose(wire::encode(command), now);
   if (index == 0) {
     answers_.push_back({token, wire::CallStatus::kNotLeader, {}});
--- a/src/control/control_core.h
+++ b/src/control/control_core.h
@@ -19,10 +19,10 @@
   uint64_t entries_per_snapshot = 20000;
   uint64_t max_learner_lag_entries = 200;  ///< maximum lag of a learner that may become a voter
   size_t target_voters = 3;  ///< number of voters that the leader maintains; see member_planner.h
-  PlannerOptions planner;
+  MembershipOptions planner;
 };
 
-/// The answer to a call() or read().
+/// The answer to propose_command() or read().
 struct CallAnswer {
   uint64_t token = 0;
   wire::CallStatus status = wire::CallStatus::kDone;
@@ -42,12 +42,12 @@
   ControlCore(const ControlOptions& options, const consensus::RestoredState& restored, uint64_t seed,
               TimePoint now);
 
-  void on_peer(const consensus::Message& message, TimePoint now);
+  void on_peer_message(const consensus::Message& message, TimePoint now);
   void tick(TimePoint now);
   /// Proposes a command; its answer is returned by take_answers() under `token`.
-  void call(uint64_t token, const Command& command, TimePoint now);
-  /// Starts a confirmed read. It is answered like a call(), with an empty result, once this member's state is
-  /// current.
+  void propose_command(uint64_t token, const Command& command, TimePoint now);
+  /// Starts a confirmed read. It is answered like propose_command(), with an empty result, once this
+  /// member's state is current.
   void read(uint64_t token, TimePoint now);
   /// True when this member should request to join: it is not in its member list, or knows no leader. Its list
   /// may never have been committed, in which case the other members do not know this one.
--- a/src/control/crash_aggregator.h
+++ b/src/control/crash_aggregator.h
@@ -50,7 +50,9 @@
   }
   /// The requests that are reported to routers, by fingerprint, with the known crashes of each; their ages
   /// are zero.
-  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>>& told() const { return suspects_; }
+  const fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>>& suspects() const {
+    return suspects_;
+  }
 
  private:
   bool merge_record(const fleet::CrashRecord& record, TimePoint now) {
--- a/src/control/durable_driver.cc
+++ b/src/control/durable_driver.cc
@@ -41,7 +41,7 @@
   disk_thread_.join();
 }
 
-void DurableDriver::drive() {
+void DurableDriver::process_output() {
   if (write_failed_ || in_drive_) {
     return;
   }
@@ -151,7 +151,7 @@
     }
     open_jobs_ -= completed->size();
     complete(*completed);
-    drive();
+    process_output();
   });
 }
 
--- a/src/control/durable_driver.h
+++ b/src/control/durable_driver.h
@@ -29,7 +29,7 @@
   DurableDriver& operator=(const DurableDriver&) = delete;
 
   /// Processes the pending output of the core. To be called after every call into the core.
-  void drive();
+  void process_output();
   uint64_t syncs() const { return syncs_; }
   /// Size of the log file in bytes after the last completed write.
   uint64_t log_bytes() const { return log_bytes_; }
--- a/src/control/engine_client.cc
+++ b/src/control/engine_client.cc
@@ -41,7 +41,7 @@
   request.path = interface_.paths.order;
   request.headers = {{"Content-Type", "application/json"},
                      {interface_.expected_backend_header, std::string(fleet::backend_name(order.engine))}};
-  request.body = weight_order_body(order, interface_.bodies);
+  request.body = weight_order_body(order, interface_.field_names);
   request.timeout = kOrderTimeout;
   request.fresh_connection = true;
   client_.start(request, nullptr, [on_answer = std::move(on_answer)](const http::ClientResult& result) {
@@ -49,7 +49,8 @@
   });
 }
 
-void EngineClient::ask(const std::string& address, std::function<void(const EngineReport*)> on_report) {
+void EngineClient::request_report(const std::string& address,
+                                  std::function<void(const EngineReport*)> on_report) {
   http::ClientRequest request;
   if (!parse_endpoint(address, request.endpoint)) {
     on_report(nullptr);
@@ -59,7 +60,8 @@
   request.timeout = kReportTimeout;
   client_.start(request, nullptr, [this, on_report = std::move(on_report)](const http::ClientResult& result) {
     constexpr int kOk = 200;
-    const auto report = result.status == kOk ? read_report(result.body, interface_.bodies) : std::nullopt;
+    const auto report =
+        result.status == kOk ? read_report(result.body, interface_.field_names) : std::nullopt;
     on_report(report ? &*report : nullptr);
   });
 }
@@ -77,7 +79,7 @@
   client_.start(request, nullptr, [this, on_events = std::move(on_events)](const http::ClientResult& result) {
     constexpr int kOk = 200;
     const auto events =
-        result.status == kOk ? read_cache_events(result.body, interface_.bodies) : std::nullopt;
+        result.status == kOk ? read_cache_events(result.body, interface_.field_names) : std::nullopt;
     on_events(events ? &*events : nullptr);
   });
 }
--- a/src/control/engine_client.h
+++ b/src/control/engine_client.h
@@ -13,7 +13,8 @@
   EngineClient(EventLoop& loop, FleetHttpInterface interface)
       : client_(loop), interface_(std::move(interface)) {}
   void send(const LoadWeightsOrder& order, std::function<void(OrderAnswer)> on_answer) override;
-  void ask(const std::string& address, std::function<void(const EngineReport*)> on_report) override;
+  void request_report(const std::string& address,
+                      std::function<void(const EngineReport*)> on_report) override;
   void poll_cache_events(const std::string& address, uint64_t since,
                          std::function<void(const CacheEvents*)> on_events) override;
 
--- a/src/control/engine_interface.h
+++ b/src/control/engine_interface.h
@@ -18,8 +18,8 @@
   std::string address;  ///< "address:port"
   std::string model;
   uint64_t version = 0;
-  std::string holder;  ///< name of the control member that sends the order
-  uint64_t fence = 0;  ///< fencing token: the term of the holder; engines refuse orders with a lower one
+  std::string holder;              ///< name of the control member that sends the order
+  uint64_t fencing_token = 0;      ///< the term of the holder; engines refuse orders with a lower one
   uint64_t expected_sequence = 0;  ///< number of orders that the engine must have accepted so far
 };
 
@@ -37,7 +37,8 @@
   virtual ~EngineInterface() = default;
   virtual void send(const LoadWeightsOrder& order, std::function<void(OrderAnswer)> on_answer) = 0;
   /// Requests the report of an engine. `on_report` gets nullptr when no valid report was received.
-  virtual void ask(const std::string& address, std::function<void(const EngineReport*)> on_report) = 0;
+  virtual void request_report(const std::string& address,
+                              std::function<void(const EngineReport*)> on_report) = 0;
   /// Waits up to a second for events after number `since` in the cache of an engine or a store. `on_events`
   /// gets nullptr when no valid answer was received.
   virtual void poll_cache_events(const std::string& address, uint64_t since,
--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -67,7 +67,7 @@
 
 void FleetAdminApi::put_configuration(const http::ExchangePtr& exchange) {
   Findings findings;
-  auto configuration = read_configuration(exchange->body(), interface_.bodies, findings);
+  auto configuration = read_configuration(exchange->body(), interface_.field_names, findings);
   if (!configuration) {
     exchange->reply(kBadRequest, kText, findings.to_text());
     return;
@@ -93,7 +93,7 @@
 
 void FleetAdminApi::order_rollout(const http::ExchangePtr& exchange) {
   Findings findings;
-  fleet::StartServiceRollout order = read_rollout_order(exchange->body(), interface_.bodies, findings);
+  fleet::StartServiceRollout order = read_rollout_order(exchange->body(), interface_.field_names, findings);
   if (!findings.empty()) {
     // An unknown service is only added to other findings. Alone, it is left to the command's checks when the
     // log applies it, because this member may lag behind.
@@ -121,7 +121,7 @@
     } else if (found->empty()) {
       exchange->reply(kNotFound, kText, "no rollout was ordered for this service\n");
     } else {
-      exchange->reply(kOk, kJson, rollout_body(found->front(), interface_.bodies));
+      exchange->reply(kOk, kJson, rollout_body(found->front(), interface_.field_names));
     }
   });
 }
@@ -140,7 +140,8 @@
 }
 
 void FleetAdminApi::put_heartbeat(const http::ExchangePtr& exchange) {
-  const auto record = read_heartbeat(backend_name_from_path(*exchange), exchange->body(), interface_.bodies);
+  const auto record =
+      read_heartbeat(backend_name_from_path(*exchange), exchange->body(), interface_.field_names);
   if (!record) {
     exchange->reply(kBadRequest, kText, "malformed heartbeat\n");
     return;
@@ -149,11 +150,11 @@
     exchange->reply(kConflict, kText, "another back end is known under this id or address\n");
     return;
   }
-  const HeartbeatAdvice advice = fleet_.heartbeat(*record);
+  const HeartbeatAdvice advice = fleet_.receive_heartbeat(*record);
   if (record->state != fleet::BackendState::kReady) {
     retire(exchange, record->id, record->state);
   } else if (advice == HeartbeatAdvice::kStayHere) {
-    exchange->reply(kOk, kJson, heartbeat_reply_body(heartbeat_address_, interface_.bodies));
+    exchange->reply(kOk, kJson, heartbeat_reply_body(heartbeat_address_, interface_.field_names));
   } else {
     reply_empty(exchange, advice != HeartbeatAdvice::kMoveAway);
   }
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -74,8 +74,8 @@
   if (auto* order = std::get_if<fleet::StartServiceRollout>(&command.value)) {
     fill_in_order(*order);
   }
-  core_->call(token, command, loop_.now());
-  driver_->drive();
+  core_->propose_command(token, command, loop_.now());
+  driver_->process_output();
 }
 
 void FleetServer::propose(Command command, std::function<void(const CallOutcome&)> on_end) {
@@ -112,7 +112,7 @@
       append_command(call.token, std::move(own->command));  // this member has become the leader
     } else {
       core_->read(call.token, now);
-      driver_->drive();
+      driver_->process_output();
     }
   }
   for (const uint64_t token : forwarded_calls_.expired_without_leader(now)) {
@@ -124,7 +124,7 @@
   const uint64_t token = add_pending_call({.on_end = std::move(on_end), .rollout_service = rollout_service});
   if (core_->replica().leads()) {
     core_->read(token, loop_.now());
-    driver_->drive();
+    driver_->process_output();
     return;
   }
   forward(token, fleet::ConfirmedRead{token, rollout_service});
--- a/src/control/fleet_feed.cc
+++ b/src/control/fleet_feed.cc
@@ -19,10 +19,11 @@
 }  // namespace
 
 bool FleetSoftState::can_resume(const FeedCursor& cursor) const {
-  return cursor.begun && registry_.table().reaches(cursor.registry) &&
-         loads_.totals().reaches(cursor.loads) && caches_.heads().reaches(cursor.heads) &&
-         caches_.shared_holdings().reaches(cursor.holdings) && limits_.limits().reaches(cursor.limits) &&
-         crashes_.told().reaches(cursor.crashes);
+  return cursor.is_started && registry_.table().can_update_from(cursor.registry) &&
+         loads_.totals().can_update_from(cursor.loads) && caches_.heads().can_update_from(cursor.heads) &&
+         caches_.shared_holdings().can_update_from(cursor.holdings) &&
+         limits_.limits().can_update_from(cursor.limits) &&
+         crashes_.suspects().can_update_from(cursor.crashes);
 }
 
 bool FleetSoftState::add_backends(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
@@ -50,13 +51,14 @@
     fleet::CacheChanges& changes = changed[holder];
     if (const CacheStatus* head = caches_.heads().find(holder)) {
       changes.store = head->store;
-      changes.followed = head->followed;
+      changes.is_subscribed = head->followed;
     }
     return changes;
   };
-  cursor.heads = caches_.heads().visit_since(
-      cursor.heads, kHoldingsPerMessage,
-      [&](const std::string& holder, const CacheStatus* head) { entry_of(holder).anew = head == nullptr; });
+  cursor.heads = caches_.heads().visit_since(cursor.heads, kHoldingsPerMessage,
+                                             [&](const std::string& holder, const CacheStatus* head) {
+                                               entry_of(holder).is_full_state = head == nullptr;
+                                             });
   cursor.holdings = caches_.shared_holdings().visit_since(
       cursor.holdings, kHoldingsPerMessage, [&](const HeldPartKey& held, const fleet::CachedPart* holding) {
         fleet::CachedPart removed{held.part, 0, 0};
@@ -79,7 +81,7 @@
 }
 
 void FleetSoftState::add_quotas(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const {
-  cursor.quotas = quotas_.told().visit_since(
+  cursor.quotas = quotas_.levels().visit_since(
       cursor.quotas, SIZE_MAX, [&](const std::string& tenant, const fleet::QuotaLevel* level) {
         message.quotas.push_back(level == nullptr ? fleet::QuotaLevel{tenant, 0, false} : *level);
       });
@@ -93,21 +95,21 @@
 }
 
 bool FleetSoftState::add_crashes(FeedCursor& cursor, fleet::FleetFeedUpdate& message, TimePoint now) const {
-  cursor.crashes =
-      crashes_.told().visit_since(cursor.crashes, kCrashRecordsPerMessage,
-                                  [&](uint64_t request, const std::vector<fleet::CrashReport>* known) {
-                                    if (known != nullptr) {  // routers discard expired records on their own
-                                      message.crashes.push_back(crashes_.record(request, now));
-                                    }
-                                  });
-  return cursor.crashes == crashes_.told().revision();
+  cursor.crashes = crashes_.suspects().visit_since(
+      cursor.crashes, kCrashRecordsPerMessage,
+      [&](uint64_t request, const std::vector<fleet::CrashReport>* known) {
+        if (known != nullptr) {  // routers discard expired records on their own
+          message.crashes.push_back(crashes_.record(request, now));
+        }
+      });
+  return cursor.crashes == crashes_.suspects().revision();
 }
 
 fleet::FleetFeedUpdate FleetSoftState::next_feed_message(FeedCursor& cursor, TimePoint now) const {
   fleet::FleetFeedUpdate message;
   if (!can_resume(cursor)) {
     cursor = FeedCursor{};
-    cursor.begun = true;
+    cursor.is_started = true;
     cursor.placements = dropped_placements_ + placements_.size();  // the contents of caches are sent in full
     message.anew = true;
   }
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -60,7 +60,7 @@
 
 /// See the top of this file.
 struct FleetHttpInterface {
-  JsonFieldNames bodies;
+  JsonFieldNames field_names;
   FleetPaths paths;
   std::string expected_backend_header = "X-Expected-Backend";
   std::string wait_header = "X-Wait-Ms";  ///< how long a cache may wait for changes before it replies, in ms
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -30,7 +30,7 @@
   next_peer_update_ = now + kMaxPeerUpdateInterval;
   send_to_members(wire::make_frame(peer_update));
   for (const std::string& address : soft_state_.take_full_state_requests()) {
-    peer_feeds_.on_request(address, now);
+    peer_feeds_.on_full_state_request(address, now);
   }
   send_full_states(term, leads);
 }
@@ -112,7 +112,7 @@
   const bool fresh = newest && now - newest->at < kMaxConfirmationAge;
   next_confirmation_request_ = now + (fresh ? kConfirmationRequestInterval : kUnconfirmedRequestInterval);
   if (const ChannelPtr leader = leader_channel()) {
-    leader->send(questions_.ask(now));
+    leader->send(questions_.make_request(now));
   }
 }
 
@@ -167,8 +167,8 @@
   cache_watch_.poll(loop_.now());
   const std::vector<fleet::CacheChanges> changes = cache_watch_.take_changes();
   for (const fleet::CacheChanges& change : changes) {
-    if (change.anew || !change.followed) {
-      log_.event(events::CacheSubscriptionChanged{change.holder, change.followed});
+    if (change.is_full_state || !change.is_subscribed) {
+      log_.event(events::CacheSubscriptionChanged{change.holder, change.is_subscribed});
     }
   }
   soft_state_.on_cache_changes(changes);
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-HeartbeatAdvice FleetServer::heartbeat(const fleet::BackendRecord& record) {
+HeartbeatAdvice FleetServer::receive_heartbeat(const fleet::BackendRecord& record) {
   const TimePoint now = loop_.now();
   soft_state_.on_heartbeat(record, now);
   if (!leader_confirmed_at_) {
@@ -121,14 +121,14 @@
     update.confirmed_version = confirmed->version;
   }
   const uint64_t newest = retired_backends_.revision();
-  const uint64_t since = std::max(link.told.retired, newest - std::min(newest, kMaxRecentRetirements));
+  const uint64_t since = std::max(link.sent.retired, newest - std::min(newest, kMaxRecentRetirements));
   retired_backends_.visit_since(since, SIZE_MAX,
                                 [&](const std::string& id, const fleet::BackendState* state) {
                                   if (state != nullptr) {
                                     update.retired.push_back({id, *state});
                                   }
                                 });
-  if (link.told.weights != named_weights_revision_) {
+  if (link.sent.weights != named_weights_revision_) {
     for (const auto& [model, history] : named_weights_) {
       const auto& versions = history.versions();
       const size_t skip = versions.size() > kMaxNamedVersions ? versions.size() - kMaxNamedVersions : 0;
@@ -138,12 +138,12 @@
       }
     }
   }
-  if (link.told.members != members_revision_) {
+  if (link.sent.members != members_revision_) {
     for (const consensus::Member& member : core_->replica().members().members) {
       update.members.push_back(member.address);
     }
   }
-  if (link.told.rollouts != rollouts_revision_) {
+  if (link.sent.rollouts != rollouts_revision_) {
     for (const auto& [service, rollout] : core_->state().fleet().rollouts()) {
       update.rollouts.push_back(rollout);
     }
@@ -175,7 +175,7 @@
     link.sent_configuration_version = configuration_version();
     link.configuration_sent_at = loop_.now();
   }
-  link.told = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
+  link.sent = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
   link.channel->send(update);
 }
 
@@ -189,7 +189,7 @@
       continue;
     }
     const bool configuration = needs_configuration(link, false);
-    wire::Frame& frame = frames[{link.told, configuration}];
+    wire::Frame& frame = frames[{link.sent, configuration}];
     if (frame.empty()) {
       fleet::FleetUpdate update = make_update(link);
       if (configuration) {
@@ -197,7 +197,7 @@
       }
       frame = wire::make_frame(update);
     }
-    link.told = newest;
+    link.sent = newest;
     if (configuration) {
       link.sent_configuration_version = configuration_version();
       link.configuration_sent_at = loop_.now();
@@ -224,7 +224,7 @@
   }
   channel->set_meter(traffic_, settings_.topology.distance(settings_.zone, status.router.zone));
   link.status = status;
-  link.heard = loop_.now();
+  link.last_status_at = loop_.now();
   link.silent = false;
   soft_state_.on_router(status.router, status.follows, loop_.now());
   record_applied_rollouts(name, status.rollouts);
@@ -263,7 +263,7 @@
   for (auto entry = router_links_.begin(); entry != router_links_.end();) {
     RouterLink& link = entry->second;
     const Duration limit = link.status.follows ? kFollowingRouterTimeout : kOtherRouterTimeout;
-    if (!link.silent && now - link.heard > limit) {
+    if (!link.silent && now - link.last_status_at > limit) {
       link.silent = true;
       soft_state_.on_router_silent(entry->first, now);
       log_.event(events::RouterChanged{entry->first, "silent", link.status.configuration_version});
@@ -290,8 +290,9 @@
     auto found = frames.find(link.cursor);
     if (found == frames.end()) {
       FeedFrame feed_frame;
-      feed_frame.after = link.cursor;
-      const fleet::FleetFeedUpdate message = soft_state_.next_feed_message(feed_frame.after, loop_.now());
+      feed_frame.next_cursor = link.cursor;
+      const fleet::FleetFeedUpdate message =
+          soft_state_.next_feed_message(feed_frame.next_cursor, loop_.now());
       feed_frame.complete = message.complete;
       if (!message.empty()) {
         feed_frame.frame = wire::make_frame(message);
@@ -299,7 +300,7 @@
       found = frames.emplace(link.cursor, std::move(feed_frame)).first;
     }
     const FeedFrame& next = found->second;
-    link.cursor = next.after;
+    link.cursor = next.next_cursor;
     if (!next.frame.empty()) {
       link.channel->send_frame(next.frame);
     }
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -200,8 +200,8 @@
   const TimePoint now = loop_.now();
   if (auto* peer = std::get_if<wire::PeerMessage>(&message.value)) {
     peer_channels_["id " + to_hex(peer->message.from)] = channel;
-    core_->on_peer(peer->message, now);
-    driver_->drive();
+    core_->on_peer_message(peer->message, now);
+    driver_->process_output();
   } else if (auto* status = std::get_if<fleet::RouterStatus>(&message.value)) {
     on_router_status(channel, *status);
   } else if (auto* loads = std::get_if<fleet::RouterLoads>(&message.value)) {
@@ -220,7 +220,7 @@
     on_control_call(channel, std::move(*call));
   } else if (auto* answer = std::get_if<wire::ControlResponse>(&message.value)) {
     const bool kept =
-        answer->status == wire::CallStatus::kNotLeader && forwarded_calls_.holds(answer->call_id);
+        answer->status == wire::CallStatus::kNotLeader && forwarded_calls_.contains(answer->call_id);
     if (!kept) {
       finish_call(answer->call_id, {answer->status == wire::CallStatus::kDone, answer->result});
     }
@@ -275,7 +275,7 @@
 void FleetServer::tick() {
   const TimePoint now = loop_.now();
   core_->tick(now);
-  driver_->drive();
+  driver_->process_output();
   const bool leads = core_->replica().leads();
   if (leads != was_leader_) {
     was_leader_ = leads;
@@ -283,7 +283,7 @@
     weight_rollout_.reset();
     if (leads) {
       soft_state_.clear_loading();
-      permit_book_.begin(now);
+      permit_book_.start_leading(now);
     }
     log_.info(leads ? "leads" : "leads no more", {{"term", core_->replica().term()}});
     metrics_.set("stoat_control_leads", leads ? 1 : 0);
@@ -300,8 +300,8 @@
   }
   stopping_ = true;
   log_.info("stopping", {{"leads", core_->replica().leads()}});
-  core_->replica().hand_over(loop_.now());
-  driver_->drive();
+  core_->replica().transfer_leadership(loop_.now());
+  driver_->process_output();
   loop_.after(kStopGracePeriod, [this] { loop_.stop(); });
 }
 
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -110,7 +110,7 @@
   /// The id of the newest known incarnation of a backend; `name` itself if none is known.
   std::string newest_incarnation(const std::string& name) const;
   /// Records a heartbeat. Changes are sent to the other members and to routers at the next feed interval.
-  HeartbeatAdvice heartbeat(const fleet::BackendRecord& record);
+  HeartbeatAdvice receive_heartbeat(const fleet::BackendRecord& record);
   /// True if the log records that a backend has reached `state` or a later state of retirement.
   bool is_retired(const std::string& id, fleet::BackendState state) const;
   /// Up to `limit` ready routers for clients in `zone`.
--- a/src/control/fleet_service_rollout.cc
+++ b/src/control/fleet_service_rollout.cc
@@ -167,7 +167,7 @@
   rollout::RolloutView view;
   view.rollout = &rollout;
   view.age = now - progress.ordered_at;
-  view.in_step = now - progress.step_started_at;
+  view.time_in_step = now - progress.step_started_at;
   view.service_known = has_service(rollout.service);
   for (const fleet::BackendRecord& record : soft_state_.registry().records()) {
     if (record.service == rollout.service && may_serve(record)) {
@@ -177,7 +177,7 @@
   if (view.others_ready > 0) {
     progress.others_seen_at = now;
   }
-  view.others_gone = now - progress.others_seen_at;
+  view.time_without_others = now - progress.others_seen_at;
   for (const fleet::Route& route : core_->state().fleet().configuration().routes) {
     const bool route_uses_service =
         std::any_of(route.shares.begin(), route.shares.end(),
--- a/src/control/fleet_soft_state.cc
+++ b/src/control/fleet_soft_state.cc
@@ -77,7 +77,7 @@
     registry_.note_unreachable(backend, loads.router, now);
     pending_update_.unreachable.push_back({loads.router, backend});
   }
-  quotas_.on_router(loads.spending, now);
+  quotas_.record_router_spending(loads.spending, now);
   answers_.on_router(loads);
   limits_.on_router(loads.limits);
   crashes_.on_router(loads.crashes, now);
@@ -126,7 +126,7 @@
     const std::vector<uint64_t> added = caches_.mark_shared(placement.links);
     pending_update_.shared_parts.insert(pending_update_.shared_parts.end(), added.begin(), added.end());
     announce_shared_parts(added);
-    if (!caches_.told(placement)) {
+    if (!caches_.is_published(placement)) {
       add_placement(placement);
       pending_update_.placements.push_back(placement);
     }
@@ -137,12 +137,12 @@
   for (const fleet::CacheChanges& change : changes) {
     const CacheIndex::Cache* known = caches_.find(change.holder);
     const bool same_claim =
-        known != nullptr && known->followed == change.followed && known->claim == change.claim;
+        known != nullptr && known->followed == change.is_subscribed && known->claim == change.claim;
     if (!caches_.apply(options_.address, change)) {
       continue;
     }
     fleet::CacheChanges shared_changes = filter_shared(change);
-    if (!same_claim || shared_changes.anew || !shared_changes.holdings.empty()) {
+    if (!same_claim || shared_changes.is_full_state || !shared_changes.holdings.empty()) {
       pending_update_.caches.push_back(std::move(shared_changes));
     }
   }
@@ -211,8 +211,8 @@
   peer.heard = now;
   routers_.on_member_heard(peer_update.sender, now);
   // The first update of a member that has just started contains its full state.
-  const bool is_first = !peer_update.anew && peer_update.number == 1 && peer.last_number == 0;
-  if (peer_update.anew) {
+  const bool is_first = !peer_update.is_full_state && peer_update.number == 1 && peer.last_number == 0;
+  if (peer_update.is_full_state) {
     loads_.forget_peer(peer_update.sender);
     peer.complete = true;
   } else if (is_first) {
@@ -249,13 +249,13 @@
   }
   apply_engine_notes(peer_update);
   using admission::SumsScope;
-  const SumsScope scope = peer_update.anew ? SumsScope::kAll
-                          : is_first       ? SumsScope::kFirst
-                                           : SumsScope::kChanged;
-  quotas_.on_peer(peer_update.sender, peer_update.start_id, scope, peer_update.spending, now);
+  const SumsScope scope = peer_update.is_full_state ? SumsScope::kAll
+                          : is_first                ? SumsScope::kFirst
+                                                    : SumsScope::kChanged;
+  quotas_.record_peer_sums(peer_update.sender, peer_update.start_id, scope, peer_update.spending, now);
   answers_.on_member(peer_update.sender, peer_update.start_id, peer_update.answers);
-  if (peer_update.anew) {
-    quotas_.adopt(peer_update.windows, Duration(1000 * peer_update.quotas_age_ms), now);
+  if (peer_update.is_full_state) {
+    quotas_.adopt_window_spending(peer_update.windows, Duration(1000 * peer_update.quotas_age_ms), now);
   }
 }
 
@@ -329,7 +329,7 @@
   peer_update.term = term;
   peer_update.leads = leads;
   peer_update.number = last_update_number_;
-  peer_update.anew = true;
+  peer_update.is_full_state = true;
   peer_update.loads = loads_.own_sums();
   peer_update.start_id = quotas_.start_id();
   peer_update.spending = quotas_.sums();
@@ -348,7 +348,7 @@
     }
   }
   for (const std::string& holder : caches_.followed_by(options_.address)) {
-    peer_update.caches.push_back(filter_shared(caches_.whole(holder)));
+    peer_update.caches.push_back(filter_shared(caches_.full_contents(holder)));
   }
   for (const fleet::BackendRecord& record : registry_.records()) {
     if (registry_.has_heartbeat_since(record.id, now - options_.registry.overdue_after)) {
@@ -395,9 +395,9 @@
     followed.epoch = known->epoch;
     followed.next_event = known->next_event;
   }
-  fleet::CacheChanges claim = caches_.whole(holder);
+  fleet::CacheChanges claim = caches_.full_contents(holder);
   claim.store = store;
-  claim.followed = false;
+  claim.is_subscribed = false;
   claim.claim = followed.claim;
   on_cache_changes({claim});
   return followed;
@@ -406,15 +406,15 @@
 std::vector<FollowedCache> FleetSoftState::choose_caches(
     const std::map<std::string, std::string>& store_zones, TimePoint now) {
   if (cache_duty_.update(registry_.table(), store_zones, live_members(now), now)) {
-    caches_.keep([this](const std::string& holder) { return cache_duty_.knows(holder); });
+    caches_.retain([this](const std::string& holder) { return cache_duty_.contains(holder); });
   }
   for (const std::string& holder : cache_duty_.take_removed_backends()) {
     caches_.drop(holder);
   }
   std::map<std::string, FollowedCache> chosen;
   std::vector<FollowedCache> list;
-  list.reserve(cache_duty_.mine().size());
-  for (const auto& [holder, cache] : cache_duty_.mine()) {
+  list.reserve(cache_duty_.assigned().size());
+  for (const auto& [holder, cache] : cache_duty_.assigned()) {
     const FollowedCache followed = claim_cache(holder, cache.address, cache.store);
     chosen.emplace(holder, followed);
     list.push_back(followed);
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -44,7 +44,7 @@
 /// A router's position in the feed, as the revision of each table that it has received. Routers with equal
 /// cursors get equal messages.
 struct FeedCursor {
-  bool begun = false;  ///< the first message of the feed was sent
+  bool is_started = false;  ///< the first message of the feed was sent
   uint64_t registry = 0;
   uint64_t loads = 0;
   uint64_t heads = 0;
@@ -59,7 +59,7 @@
  private:
   std::tuple<bool, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t> values()
       const {
-    return {begun, registry, loads, heads, holdings, placements, quotas, limits, crashes};
+    return {is_started, registry, loads, heads, holdings, placements, quotas, limits, crashes};
   }
 };
 
@@ -103,7 +103,7 @@
     pending_update_.rollout_ages = std::move(ages);
   }
   /// Drops the answer counts of all other rollouts.
-  void retain_answers(const std::set<uint64_t>& rollouts) { answers_.keep(rollouts); }
+  void retain_answers(const std::set<uint64_t>& rollouts) { answers_.retain_only(rollouts); }
   /// Applies an update from another member.
   void on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Expires everything that has been silent for too long. Must be called a few times per second.
--- a/src/control/fleet_weight_rollout.cc
+++ b/src/control/fleet_weight_rollout.cc
@@ -59,12 +59,12 @@
   order.model = step.model;
   order.version = step.version;
   order.holder = settings_.name;
-  order.fence = core_->replica().term();
+  order.fencing_token = core_->replica().term();
   order.expected_sequence = step.expected_sequence;
   log_.info("sending weight order", {{"engine", order.engine},
                                      {"model", order.model},
                                      {"version", order.version},
-                                     {"fence", order.fence},
+                                     {"fence", order.fencing_token},
                                      {"expected_sequence", order.expected_sequence}});
   metrics_.count("stoat_control_orders_total");
   const uint64_t term = core_->replica().term();
@@ -80,7 +80,7 @@
 void FleetServer::query_engine(const RolloutStep& step) {
   const std::string engine = step.engine.id;
   const uint64_t term = core_->replica().term();
-  engine_orders_.ask(step.engine.address, [this, engine, term](const EngineReport* report) {
+  engine_orders_.request_report(step.engine.address, [this, engine, term](const EngineReport* report) {
     if (term != core_->replica().term()) {
       return;
     }
--- a/src/control/forwarded_calls.h
+++ b/src/control/forwarded_calls.h
@@ -27,7 +27,7 @@
   /// Keeps a call until it ends. False when the call should be refused at once, because there has been no
   /// leader for longer than an election takes.
   bool add(uint64_t token, wire::Message message, TimePoint now);
-  bool holds(uint64_t token) const { return calls_.count(token) > 0; }
+  bool contains(uint64_t token) const { return calls_.count(token) > 0; }
   /// Removes a call that has ended.
   void erase(uint64_t token) { calls_.erase(token); }
   /// The calls that the current leader has not been sent yet. Marks them as sent.
--- a/src/control/leader_confirmation_tracker.h
+++ b/src/control/leader_confirmation_tracker.h
@@ -22,7 +22,7 @@
 class LeaderConfirmationTracker {
  public:
   /// A request to be sent to the leader now.
-  fleet::ConfirmationRequest ask(TimePoint now) {
+  fleet::ConfirmationRequest make_request(TimePoint now) {
     request_times_[++last_request_number_] = now;
     if (request_times_.size() > kMaxOpenRequests) {
       request_times_.erase(request_times_.begin());
--- a/src/control/member_planner.cc
+++ b/src/control/member_planner.cc
@@ -34,7 +34,7 @@
 
 /// The voter to remove first: one whose disk was lost, else the one that has been silent the longest; nullptr
 /// when all voters answer.
-const MemberView* voter_to_replace(const std::vector<MemberView>& current, const PlannerOptions& options) {
+const MemberView* voter_to_replace(const std::vector<MemberView>& current, const MembershipOptions& options) {
   const MemberView* longest_silent = nullptr;
   for (const MemberView& view : current) {
     if (!view.member.voter) {
@@ -74,7 +74,7 @@
 }
 
 std::optional<MemberList> promote_learner(const std::vector<MemberView>& current,
-                                          const PlannerOptions& options) {
+                                          const MembershipOptions& options) {
   for (const MemberView& view : current) {
     if (view.member.voter || !view.caught_up || view.silence > options.max_voter_silence / 2) {
       continue;
@@ -89,7 +89,7 @@
 }
 
 std::optional<MemberList> remove_stale_learner(const std::vector<MemberView>& current,
-                                               const PlannerOptions& options) {
+                                               const MembershipOptions& options) {
   for (const MemberView& view : current) {
     if (!view.member.voter && (is_superseded(view, current) || view.silence > options.max_learner_silence)) {
       return remove_member(current, view.member.id);
@@ -102,7 +102,7 @@
 
 std::optional<MemberList> plan_members(const std::vector<MemberView>& current,
                                        const std::vector<Member>& joining, size_t target_voters,
-                                       const PlannerOptions& options) {
+                                       const MembershipOptions& options) {
   const size_t voters = count_voters(current);
   const MemberView* outgoing = voter_to_replace(current, options);
   if (voters > target_voters && outgoing != nullptr) {
--- a/src/control/member_planner.h
+++ b/src/control/member_planner.h
@@ -13,7 +13,7 @@
 namespace stoat::control {
 
 /// Settings for changes of the member list.
-struct PlannerOptions {
+struct MembershipOptions {
   Duration max_voter_silence = 1500ms;      ///< a voter silent for longer may be replaced by a learner
   Duration max_learner_silence = 10s;       ///< a learner silent for longer is removed
   Duration join_request_lifetime = 1500ms;  ///< how long a join request remains valid
@@ -29,6 +29,6 @@
 /// The next member list, or nullopt when no change is needed. At most one member differs.
 std::optional<consensus::MemberList> plan_members(const std::vector<MemberView>& current,
                                                   const std::vector<consensus::Member>& joining,
-                                                  size_t target_voters, const PlannerOptions& options);
+                                                  size_t target_voters, const MembershipOptions& options);
 
 }  // namespace stoat::control
--- a/src/control/peer_flow_control.cc
+++ b/src/control/peer_flow_control.cc
@@ -25,7 +25,7 @@
   return !state.updates_missed;
 }
 
-void PeerFlowControl::on_request(const std::string& member, TimePoint now) {
+void PeerFlowControl::on_full_state_request(const std::string& member, TimePoint now) {
   MemberState& state = members_[member];
   state.full_state_owed = state.full_state_owed || now >= state.next_full_state;
 }
--- a/src/control/peer_flow_control.h
+++ b/src/control/peer_flow_control.h
@@ -20,7 +20,7 @@
   bool accepts_update(const std::string& member, size_t unsent);
   /// Handles a member's request for the full state. It counts only once the last full state has had time to
   /// arrive: until then the member repeats requests that it made before it received that state.
-  void on_request(const std::string& member, TimePoint now);
+  void on_full_state_request(const std::string& member, TimePoint now);
   /// True when the full state should be sent to a member now.
   bool full_state_due(const std::string& member, size_t unsent, TimePoint now) const;
   /// Records that the full state was sent; `bytes` is its size.
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -27,9 +27,9 @@
 struct RouterLink {
   fleet::RouterStatus status;  ///< last one received
   std::shared_ptr<wire::Channel> channel;
-  TimePoint heard{0};
+  TimePoint last_status_at{0};
   bool silent = false;  ///< regarded as gone until its next status arrives
-  SentRevisions told;
+  SentRevisions sent;
   FeedCursor cursor;
   uint64_t sent_configuration_version = 0;  ///< version sent last
   TimePoint configuration_sent_at{0};
@@ -39,7 +39,7 @@
   /// Starts over on a new connection.
   void reconnect(const std::shared_ptr<wire::Channel>& connection) {
     channel = connection;
-    told = {};
+    sent = {};
     cursor = {};
     sent_configuration_version = 0;
     acknowledged_spending_sequence = 0;
@@ -48,9 +48,9 @@
 
 /// A message for the routers at one cursor, encoded once.
 struct FeedFrame {
-  wire::Frame frame;     ///< empty: there is nothing new
-  FeedCursor after;      ///< cursor of a router that has received the message
-  bool complete = true;  ///< nothing is left to be sent after this message
+  wire::Frame frame;       ///< empty: there is nothing new
+  FeedCursor next_cursor;  ///< cursor of a router that has received the message
+  bool complete = true;    ///< nothing is left to be sent after this message
 };
 
 }  // namespace stoat::control
--- a/src/control/state_machine.cc
+++ b/src/control/state_machine.cc
@@ -15,7 +15,7 @@
 CommandResult StateMachine::apply_rollout_start(const fleet::StartServiceRollout& start) {
   CommandResult result;
   switch (fleet_.apply(start)) {
-    case fleet::RolloutOrderResult::kTaken:
+    case fleet::RolloutOrderResult::kAccepted:
       break;
     case fleet::RolloutOrderResult::kUnknownService:
       result.code = ResultCode::kInvalid;
--- a/src/control/weight_rollout.h
+++ b/src/control/weight_rollout.h
@@ -75,7 +75,7 @@
   void on_report(const std::string& engine, const EngineReport& report, TimePoint now);
   /// True when an engine has seen a fencing token above this leader's, which must then stop sending orders.
   bool fenced_off() const { return fenced_off_; }
-  size_t under_way() const { return loads_.size(); }
+  size_t in_progress() const { return loads_.size(); }
 
  private:
   enum class Phase : uint8_t { kAnnounced, kOrdered, kOutcomeUnknown };
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -62,7 +62,7 @@
   const HeaderNames& names;
   BackendPool& pool;
   Metrics& metrics;
-  events::RequestLogSampler& stories;
+  events::RequestLogSampler& request_log_sampler;
   Random random{0};
   topology::Topology topology = {};
   topology::Location place = {};  ///< location of this router
@@ -72,7 +72,7 @@
   Duration old_weights_timeout = 6s;
   delivery::RetryBudgetOptions budget_options = {};
   std::map<std::string, delivery::RetryBudget> budgets = {};  ///< retry budgets by service
-  fleet::TargetWeights wanted = {};                           ///< announced weights versions by model
+  fleet::TargetWeights announced_weights = {};                ///< announced weights versions by model
   StoreSet stores = {};
   /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
   std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
@@ -93,7 +93,7 @@
   /// End of the start-up phase, in which a service without known back ends may still have some.
   TimePoint startup_ends_at{0};
   admission::BackendLimits limits = {};
-  /// Asks the control plane for the permits that requests need (see BackendLimits::want).
+  /// Asks the control plane for the permits that requests need (see BackendLimits::note_unmet_request).
   std::function<void()> request_permits = [] {};
   admission::CrashHistory crashes{};
   /// Logs that the crash history of a request has changed. `request`: its fingerprint. `source`: the cause.
--- a/src/dispatch/backend_connection.cc
+++ b/src/dispatch/backend_connection.cc
@@ -136,7 +136,7 @@
     return;
   }
   // A response without a length ends with its connection, but only if the connection was closed in order.
-  if (orderly && parser_.begun() && !skipping_ && parser_.finish() == http1::ParseState::kComplete &&
+  if (orderly && parser_.has_input() && !skipping_ && parser_.finish() == http1::ParseState::kComplete &&
       response_complete_) {
     become_idle();
     return;
--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -227,7 +227,8 @@
 }
 
 bool BackendPool::schedule_recheck(const BackendPtr& backend, const BackendConnection& probe) {
-  if (backend->broken.empty() || !probe.connected() || ++backend->dropped_probes > kMaxDroppedProbes) {
+  if (backend->broken_exchanges.empty() || !probe.connected() ||
+      ++backend->dropped_probes > kMaxDroppedProbes) {
     return false;
   }
   const std::weak_ptr<Backend> weak = backend;
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -51,14 +51,14 @@
   placement::KvCacheEstimate memory;
   placement::EngineSpeed speed;
   BackendBackoff backoff;
-  TimePoint last_received_at{0};             ///< when this router last received data from it
-  std::shared_ptr<BackendConnection> probe;  ///< a connection being made to test whether it responds
-  TimePoint last_probe_at{0};                ///< when the last probe was started
-  TimePoint last_failed_probe_at{0};         ///< when the last failed probe was started
-  std::vector<BrokenExchange> broken = {};   ///< neither confirmed as crashes nor marked as survived
-  bool outcome_check_pending = false;        ///< a health check is running or the next probe is scheduled
-  bool ended_unexpectedly = false;  ///< the control plane reported it gone, and it had not deregistered
-  uint32_t dropped_probes = 0;      ///< connections of the current check that were closed at once
+  TimePoint last_received_at{0};                      ///< when this router last received data from it
+  std::shared_ptr<BackendConnection> probe;           ///< a connection being made to test whether it responds
+  TimePoint last_probe_at{0};                         ///< when the last probe was started
+  TimePoint last_failed_probe_at{0};                  ///< when the last failed probe was started
+  std::vector<BrokenExchange> broken_exchanges = {};  ///< neither confirmed as crashes nor marked as survived
+  bool outcome_check_pending = false;  ///< a health check is running or the next probe is scheduled
+  bool ended_unexpectedly = false;     ///< the control plane reported it gone, and it had not deregistered
+  uint32_t dropped_probes = 0;         ///< connections of the current check that were closed at once
 
   bool has_free_slot() const {
     return record.slots == 0 ||  // unknown
--- a/src/dispatch/request_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -160,8 +160,8 @@
   request.time_to_room = wait > Duration(0) ? wait : kUnknownWaitRetryAfter;
   auto& schedule =
       context_.retry_schedules.try_emplace(plan_.service, context_.max_retry_after).first->second;
-  return schedule.book(request, per_second / std::max(1U, context_.router_count), context_.random,
-                       context_.loop.now());
+  return schedule.schedule_retry(request, per_second / std::max(1U, context_.router_count), context_.random,
+                                 context_.loop.now());
 }
 
 }  // namespace stoat::dispatch
--- a/src/dispatch/request_backoff.cc
+++ b/src/dispatch/request_backoff.cc
@@ -21,11 +21,11 @@
   }
   const std::string& backend = backend_->record.id;
   const TimePoint now = context_.loop.now();
-  const NumberReading reading = read_backoff(headers, context_.names.rest);
+  const NumberReading reading = read_backoff(headers, context_.names.retry_after);
   if (!reading.finding.empty()) {
     context_.metrics.count("stoat_router_rests_unreadable_total");
-    if (context_.stories.take_lines(1, "rest unreadable", now)) {
-      context_.stories.log().event(events::BackendRetryAfterUnreadable{backend, reading.finding});
+    if (context_.request_log_sampler.reserve_lines(1, "rest unreadable", now)) {
+      context_.request_log_sampler.log().event(events::BackendRetryAfterUnreadable{backend, reading.finding});
     }
   }
   if (reading.kind != NumberReading::Kind::kPresent) {
@@ -33,10 +33,10 @@
   }
   const Duration delay = from_seconds(reading.value);
   backend_->backoff.begin(now + delay +
-                          from_seconds(reading.value * kBackoffJitter * context_.random.unit()));
+                          from_seconds(reading.value * kBackoffJitter * context_.random.uniform_real()));
   context_.metrics.count("stoat_router_rests_total");
-  if (context_.stories.take_lines(1, "backend rests", now)) {
-    context_.stories.log().event(events::BackendBackoffStarted{backend, to_milliseconds(delay)});
+  if (context_.request_log_sampler.reserve_lines(1, "backend rests", now)) {
+    context_.request_log_sampler.log().event(events::BackendBackoffStarted{backend, to_milliseconds(delay)});
   }
 }
 
@@ -49,8 +49,8 @@
   }
   const std::string& backend = backend_->record.id;
   context_.pool.retire({{backend, fleet::BackendState::kDraining}});
-  if (context_.stories.take_lines(1, "backend leaving", context_.loop.now())) {
-    context_.stories.log().event(events::BackendLeaving{backend});
+  if (context_.request_log_sampler.reserve_lines(1, "backend leaving", context_.loop.now())) {
+    context_.request_log_sampler.log().event(events::BackendLeaving{backend});
   }
 }
 
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -8,8 +8,8 @@
 
 std::optional<Duration> ActiveRequest::outdated_for(const Backend& backend) const {
   // The age counts from the announcement of the lowest newer version, however soon later ones followed.
-  const auto wanted = context_.wanted.find(plan_.fields.model);
-  if (wanted == context_.wanted.end()) {
+  const auto wanted = context_.announced_weights.find(plan_.fields.model);
+  if (wanted == context_.announced_weights.end()) {
     return std::nullopt;
   }
   return wanted->second.outdated_for(backend.record.version_of(plan_.fields.model), context_.loop.now());
--- a/src/dispatch/request_crashes.cc
+++ b/src/dispatch/request_crashes.cc
@@ -39,7 +39,7 @@
   if (context_.limits.may_send(key, now)) {
     return false;
   }
-  if (context_.limits.want(key, now)) {
+  if (context_.limits.note_unmet_request(key, now)) {
     context_.request_permits();
   }
   wait_for_permit({key}, kSuspectReason);
@@ -62,21 +62,21 @@
 
 void ActiveRequest::spend_trial() {
   trial_permit_used_ =
-      suspected() && context_.limits.spend(admission::trial_key(fingerprint_), context_.loop.now());
+      suspected() && context_.limits.consume_permit(admission::trial_key(fingerprint_), context_.loop.now());
 }
 
 void ActiveRequest::return_trial_permit() {
   if (std::exchange(trial_permit_used_, false)) {
-    context_.limits.give_back(admission::trial_key(fingerprint_), sent_at_, context_.loop.now());
+    context_.limits.return_permit(admission::trial_key(fingerprint_), sent_at_, context_.loop.now());
   }
 }
 
 void ActiveRequest::note_broken_exchange(const BackendPtr& backend) {
   const TimePoint now = context_.loop.now();
-  std::erase_if(backend->broken, [now](const BrokenExchange& exchange) {
+  std::erase_if(backend->broken_exchanges, [now](const BrokenExchange& exchange) {
     return now - exchange.at >= admission::kUnconfirmedCrashTimeout;
   });
-  backend->broken.push_back({fingerprint_, now});
+  backend->broken_exchanges.push_back({fingerprint_, now});
   if (context_.crashes.note_broken_exchange(fingerprint_, backend->record.id, now)) {
     context_.log_standing_change(fingerprint_, "break");
   }
@@ -88,7 +88,7 @@
 }
 
 void note_survival(DispatchContext& context, Backend& backend, TimePoint sent_at) {
-  std::vector<BrokenExchange>& broken = backend.broken;
+  std::vector<BrokenExchange>& broken = backend.broken_exchanges;
   const auto first_earlier =
       std::partition(broken.begin(), broken.end(),
                      [sent_at](const BrokenExchange& exchange) { return exchange.at >= sent_at; });
--- a/src/dispatch/request_distance.cc
+++ b/src/dispatch/request_distance.cc
@@ -24,7 +24,8 @@
   if (!call_sent_at_) {
     return;
   }
-  const double network_ms = context_.costs.ways.ms(topology::distance(context_.place, backend_->place));
+  const double network_ms =
+      context_.costs.distance_costs.ms(topology::distance(context_.place, backend_->place));
   const Duration taken = context_.loop.now() - *call_sent_at_;
   call_sent_at_.reset();
   context_.call_times[plan_.service].observe(to_fractional_ms(taken) - network_ms);
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -107,7 +107,7 @@
 
 void ActiveRequest::refund_quota() {
   if (executed_ == Executed::kNo && !outcome_unknown_ && plan_.quota_cost > 0) {
-    context_.quotas.give_back(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
+    context_.quotas.refund(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
   }
 }
 
@@ -133,7 +133,7 @@
   story_.add(events::RequestEnded{outcome, status, static_cast<uint32_t>(tried_.size()), refusals_,
                                   to_milliseconds(now - plan_.arrived), first_ms, expected_ms,
                                   to_milliseconds(longest_pause_), is_late});
-  story_.finish(context_.stories, !success || is_late, outcome, now);
+  story_.finish(context_.request_log_sampler, !success || is_late, outcome, now);
   on_done_(this);
 }
 
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -24,7 +24,7 @@
       found.best_available().empty() ? std::min(kMaxPermitRequests, found.limited.size()) : 1;
   bool ask = false;
   for (size_t position = 0; position < count; ++position) {
-    ask = context_.limits.want(found.limited[position]->record.id, context_.loop.now()) || ask;
+    ask = context_.limits.note_unmet_request(found.limited[position]->record.id, context_.loop.now()) || ask;
   }
   if (ask) {
     context_.request_permits();
@@ -60,11 +60,11 @@
     return;
   }
   context_.metrics.count("stoat_router_limited_sends_total");
-  if (!context_.limits.spend(id, context_.loop.now())) {
+  if (!context_.limits.consume_permit(id, context_.loop.now())) {
     // Must not happen: the back end was chosen among those with a permit in the same iteration of the event
     // loop.
     context_.metrics.count("stoat_router_sends_without_permit_total");
-    context_.stories.log().error("request sent without a permit", {{"backend", id}});
+    context_.request_log_sampler.log().error("request sent without a permit", {{"backend", id}});
   }
 }
 
@@ -79,8 +79,8 @@
   const NumberReading reading = read_rate_limit(headers, context_.names.rate_limit);
   if (!reading.finding.empty()) {
     context_.metrics.count("stoat_router_limits_unreadable_total");
-    if (context_.stories.take_lines(1, "limit unreadable", now)) {
-      context_.stories.log().event(events::BackendLimitUnreadable{backend, reading.finding});
+    if (context_.request_log_sampler.reserve_lines(1, "limit unreadable", now)) {
+      context_.request_log_sampler.log().event(events::BackendLimitUnreadable{backend, reading.finding});
     }
   }
   std::optional<admission::LimitChange> change;
@@ -89,8 +89,8 @@
   } else if (reading.kind == NumberReading::Kind::kNone && kind_ != ResponseKind::kNotRun) {
     change = context_.limits.record_response_without_limit(backend, sent_at_);
   }
-  if (change && context_.stories.take_lines(1, "limit changed", now)) {
-    context_.stories.log().event(
+  if (change && context_.request_log_sampler.reserve_lines(1, "limit changed", now)) {
+    context_.request_log_sampler.log().event(
         events::BackendLimitChanged{backend, change->per_second, change->before, "answer"});
   }
 }
--- a/src/dispatch/request_protocol.h
+++ b/src/dispatch/request_protocol.h
@@ -39,7 +39,7 @@
   /// Set to 1 in each response of a back end that is shutting down and wants no further requests.
   std::string leaving = "X-Leaving";
   /// Seconds for which a back end that refuses a request with 503 wants no requests from this router.
-  std::string rest = "Retry-After";
+  std::string retry_after = "Retry-After";
 };
 
 }  // namespace stoat::dispatch
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -39,7 +39,7 @@
   view.distance = topology::distance(context_.place, backend.place);
   view.has_outdated_weights = outdated_for(backend).value_or(Duration(0)) > kOldWeightsGracePeriod;
   // An unreachable source would delay the request.
-  view.sound = context_.pool.is_sound(backend);
+  view.usable_as_source = context_.pool.is_sound(backend);
   return view;
 }
 
@@ -73,10 +73,10 @@
   }
   if (const fleet::Service* service = plan_.table->service(plan_.service)) {
     const fleet::Service* stored = store == nullptr ? nullptr : plan_.table->store_at(store->address);
-    costs.moves = placement::make_transfer_costs(service->engine, stored);
+    costs.transfers = placement::make_transfer_costs(service->engine, stored);
   }
-  const placement::Placement placed =
-      placement::place(chain_, views, store == nullptr ? nullptr : &store_view, costs, context_.loop.now());
+  const placement::Placement placed = placement::choose_placement(
+      chain_, views, store == nullptr ? nullptr : &store_view, costs, context_.loop.now());
   const BackendPtr holder = placed.source ? engines[*placed.source] : nullptr;
   CachePlan cache = plan_cache(*engines[placed.target], holder.get(), store, placed.worth_taking_from_store);
   cache.candidates = static_cast<uint32_t>(candidates.size());
@@ -98,7 +98,7 @@
 const BackendPtr& ActiveRequest::choose_without_prompt(const std::vector<BackendPtr>& candidates,
                                                        const std::vector<placement::EngineView>& views) {
   const size_t chosen = placement::choose_nearest(views, context_.call_times[plan_.service].ms(),
-                                                  context_.costs.ways, context_.random.bits());
+                                                  context_.costs.distance_costs, context_.random.bits());
   if (views[chosen].outstanding < views[chosen].slots) {
     call_sent_at_ = context_.loop.now();
   }
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -55,7 +55,7 @@
     return;
   }
   in_trial_sample_ =
-      context_.versions.draw(plan_.service, plan_.route->name, context_.random.unit(), plan_.arrived);
+      context_.versions.draw(plan_.service, plan_.route->name, context_.random.uniform_real(), plan_.arrived);
   // The other versions may have room when the sampled back ends have none: no request waits because of a
   // trial.
   in_trial_sample_ = in_trial_sample_ && has_room();
--- a/src/events/request_event_log.cc
+++ b/src/events/request_event_log.cc
@@ -10,7 +10,7 @@
   return options_.sample_one_in <= 1 || hash_bytes(request) % options_.sample_one_in == 0;
 }
 
-bool RequestLogSampler::take_lines(size_t lines, const std::string& outcome, TimePoint now) {
+bool RequestLogSampler::reserve_lines(size_t lines, const std::string& outcome, TimePoint now) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   const double elapsed_s = static_cast<double>((now - refilled_at_).count()) / kMicrosecondsPerSecond;
   available_lines_ =
@@ -56,7 +56,7 @@
     sampler.count_unsampled(outcome, now);
     return;
   }
-  if (!sampler.take_lines(lines_.size(), outcome, now)) {
+  if (!sampler.reserve_lines(lines_.size(), outcome, now)) {
     return;
   }
   for (Entry& entry : lines_) {
--- a/src/events/request_event_log.h
+++ b/src/events/request_event_log.h
@@ -32,7 +32,7 @@
   bool is_sampled(const std::string& request) const;
   /// Takes this many lines from the limit and returns true, or counts the request as left out under `outcome`
   /// and returns false.
-  bool take_lines(size_t lines, const std::string& outcome, TimePoint now);
+  bool reserve_lines(size_t lines, const std::string& outcome, TimePoint now);
   /// Counts a request that succeeded in time and is not in the sample.
   void count_unsampled(const std::string& outcome, TimePoint now);
   const Logger& log() const { return log_; }
--- a/src/events/rollout_events.h
+++ b/src/events/rollout_events.h
@@ -46,7 +46,7 @@
             {"target_version", rollout.target_version},
             {"phase", to_text(rollout.phase)},
             {"share", rollout.share},
-            {"spread", rollout.spread},
+            {"spread", rollout.all_backends},
             {"reason", rollout.reason},
             {"age_ms", age_ms},
             {"answers", answers},
--- a/src/fleet/backend_registry.cc
+++ b/src/fleet/backend_registry.cc
@@ -113,7 +113,7 @@
   }
   BackendRecord record = *known;
   record.sequence = sequence;
-  return on_heartbeat(record, now) ? CompactHeartbeatResult::kTaken : CompactHeartbeatResult::kStale;
+  return on_heartbeat(record, now) ? CompactHeartbeatResult::kApplied : CompactHeartbeatResult::kStale;
 }
 
 void BackendRegistry::claim_address(const BackendRecord& record, TimePoint now) {
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -24,7 +24,7 @@
 
 /// Result of a mark: a compact heartbeat that carries only the hash of the id and the sequence.
 enum class CompactHeartbeatResult : uint8_t {
-  kTaken,
+  kApplied,
   kStale,    ///< a heartbeat with the same or a higher sequence is known, or the incarnation was replaced
   kUnknown,  ///< the backend is not known, and its full record must be requested
 };
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -101,15 +101,15 @@
 
 /// Changes of the contents of one KV cache.
 struct CacheChanges {
-  std::string holder;     ///< id of the backend, or address of the store
-  bool store = false;     ///< the holder is a store
-  bool followed = false;  ///< the sender receives the changes of this cache; if false, no updates will follow
-  bool anew = false;      ///< discard what was sent before
-  uint64_t claim = 0;     ///< between members: the subscriber with the highest claim is authoritative
-  uint64_t epoch = 0;     ///< between members: changes when the cache restarts
-  uint64_t next_event = 0;  ///< between members: position at which another subscriber continues
+  std::string holder;          ///< id of the backend, or address of the store
+  bool store = false;          ///< the holder is a store
+  bool is_subscribed = false;  ///< the sender receives this cache's changes; if false, no updates will follow
+  bool is_full_state = false;  ///< discard what was sent before
+  uint64_t claim = 0;          ///< between members: the subscriber with the highest claim is authoritative
+  uint64_t epoch = 0;          ///< between members: changes when the cache restarts
+  uint64_t next_event = 0;     ///< between members: position at which another subscriber continues
   std::vector<CachedPart> holdings;
-  MSGPACK_DEFINE_ARRAY(holder, store, followed, anew, claim, epoch, next_event, holdings)
+  MSGPACK_DEFINE_ARRAY(holder, store, is_subscribed, is_full_state, claim, epoch, next_event, holdings)
 };
 
 /// A target version of a model's weights, and the time since it was set as far as the sender knows.
@@ -204,8 +204,8 @@
   std::string zone;
   uint64_t term = 0;
   bool leads = false;
-  uint64_t number = 0;  ///< increases by one; a receiver that misses a number asks for the full state
-  bool anew = false;    ///< full state: discard what the sender sent before
+  uint64_t number = 0;         ///< increases by one; a receiver that misses a number asks for the full state
+  bool is_full_state = false;  ///< discard what the sender sent before
   std::vector<std::string> incomplete;  ///< addresses of members that are asked for their full state
   std::vector<BackendRecord> heartbeats;
   std::vector<RouterPresence> routers;
@@ -228,12 +228,12 @@
   std::vector<RolloutAge> rollout_ages = {};  ///< only from the leader: rollouts that are not final
   std::vector<BackendLimit> limits = {};      ///< reported by the sender's routers; with the full state: all
   std::vector<CrashRecord> crashes = {};      ///< the same for crashes
-  MSGPACK_DEFINE_ARRAY(sender, zone, term, leads, number, anew, incomplete, heartbeats, routers, loads,
-                       caches, placements, shared_parts, unreachable, engines, weights, start_id, spending,
-                       windows, quotas_age_ms, marks, questions, answers, applied, rollout_ages, limits,
-                       crashes)
+  MSGPACK_DEFINE_ARRAY(sender, zone, term, leads, number, is_full_state, incomplete, heartbeats, routers,
+                       loads, caches, placements, shared_parts, unreachable, engines, weights, start_id,
+                       spending, windows, quotas_age_ms, marks, questions, answers, applied, rollout_ages,
+                       limits, crashes)
   bool empty() const {
-    return !anew && incomplete.empty() && heartbeats.empty() && routers.empty() && loads.empty() &&
+    return !is_full_state && incomplete.empty() && heartbeats.empty() && routers.empty() && loads.empty() &&
            caches.empty() && placements.empty() && shared_parts.empty() && unreachable.empty() &&
            engines.empty() && spending.empty() && marks.empty() && questions.empty() && answers.empty() &&
            applied.empty() && rollout_ages.empty() && limits.empty() && crashes.empty();
--- a/src/fleet/fleet_state.cc
+++ b/src/fleet/fleet_state.cc
@@ -51,11 +51,11 @@
     const ServiceRollout& previous = last->second;
     const bool same = previous.target_version == command.target_version;
     if (!previous.final()) {
-      return same ? RolloutOrderResult::kTaken : RolloutOrderResult::kRolloutInProgress;
+      return same ? RolloutOrderResult::kAccepted : RolloutOrderResult::kRolloutInProgress;
     }
     const bool repeated = command.accepted_at_ms - previous.accepted_at_ms < kRepeatedOrderWindowMs;
     if (same && (previous.phase == RolloutPhase::kCompleted || repeated)) {
-      return RolloutOrderResult::kTaken;
+      return RolloutOrderResult::kAccepted;
     }
   }
   ++revision_;
@@ -69,7 +69,7 @@
   order.accepted_at_ms = command.accepted_at_ms;
   order.reason = "ordered";
   rollouts_[command.service] = order;
-  return RolloutOrderResult::kTaken;
+  return RolloutOrderResult::kAccepted;
 }
 
 void FleetState::apply(const StepServiceRollout& command) {
@@ -82,7 +82,7 @@
   ++order.step;
   order.phase = command.phase;
   order.share = command.share;
-  order.spread = command.spread;
+  order.all_backends = command.all_backends;
   order.reason = command.reason;
   ++revision_;
 }
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -51,7 +51,7 @@
 
 /// Result of a rollout order.
 enum class RolloutOrderResult : uint8_t {
-  kTaken,              ///< accepted, already running, or already done
+  kAccepted,           ///< accepted, already running, or already done
   kUnknownService,     ///< not a service with backends in the configuration
   kRolloutInProgress,  ///< a rollout of the service to another version is in progress
 };
--- a/src/fleet/revision_table.h
+++ b/src/fleet/revision_table.h
@@ -54,7 +54,9 @@
   size_t size() const { return size_; }
   uint64_t revision() const { return revision_; }
   /// True when a receiver at this revision can be updated with changes only.
-  bool reaches(uint64_t revision) const { return revision == 0 || revision >= newest_evicted_revision_; }
+  bool can_update_from(uint64_t revision) const {
+    return revision == 0 || revision >= newest_evicted_revision_;
+  }
 
   /// Calls `visit(key, value)` for at most `limit` entries that changed after `revision`, in the order of
   /// their last change; `value` is nullptr for an erased key. Returns the revision that the receiver is at
--- a/src/fleet/service_rollout.h
+++ b/src/fleet/service_rollout.h
@@ -31,12 +31,12 @@
   int64_t duration_ms = 0;     ///< time from the order to its deadline
   int64_t accepted_at_ms = 0;  ///< Unix time by the clock of the leader that accepted the order
   RolloutPhase phase = RolloutPhase::kWaiting;
-  double share = 0;     ///< fraction of the service's requests that go to the target version
-  bool spread = false;  ///< true: the share goes to all backends of the target version; false: to few of
-                        ///< them, so that each bears the load that it would have after the switch
-  std::string reason;   ///< of the latest step
+  double share = 0;           ///< fraction of the service's requests that go to the target version
+  bool all_backends = false;  ///< true: the share goes to all backends of the target version; false: to few
+                              ///< of them, so that each bears the load that it would have after the switch
+  std::string reason;         ///< of the latest step
   MSGPACK_DEFINE_ARRAY(service, id, step, target_version, active_versions, duration_ms, accepted_at_ms, phase,
-                       share, spread, reason)
+                       share, all_backends, reason)
   bool operator==(const ServiceRollout&) const = default;
   bool final() const { return phase == RolloutPhase::kCompleted || phase == RolloutPhase::kRolledBack; }
 };
@@ -58,9 +58,9 @@
   uint64_t from_step = 0;
   RolloutPhase phase = RolloutPhase::kWaiting;
   double share = 0;
-  bool spread = false;
+  bool all_backends = false;
   std::string reason;
-  MSGPACK_DEFINE_ARRAY(service, id, from_step, phase, share, spread, reason)
+  MSGPACK_DEFINE_ARRAY(service, id, from_step, phase, share, all_backends, reason)
 };
 
 /// The state of one rollout at a router.
--- a/src/gateway/gateway_crashes.cc
+++ b/src/gateway/gateway_crashes.cc
@@ -32,7 +32,7 @@
   if (result == dispatch::ProbeResult::kRefused) {
     confirm_crash(*backend, "refused");
   }
-  if (!backend->broken.empty()) {
+  if (!backend->broken_exchanges.empty()) {
     check_outcome(backend, result);
   }
   if (result != dispatch::ProbeResult::kReached) {
@@ -74,7 +74,8 @@
     const auto unconfirmed = [now](const dispatch::BrokenExchange& exchange) {
       return now - exchange.at < admission::kUnconfirmedCrashTimeout;
     };
-    const bool outcome_unknown = std::any_of(checked->broken.begin(), checked->broken.end(), unconfirmed);
+    const bool outcome_unknown =
+        std::any_of(checked->broken_exchanges.begin(), checked->broken_exchanges.end(), unconfirmed);
     if (outcome_unknown && !checked->ended_unexpectedly) {
       pool_.check(checked);
     }
@@ -97,7 +98,7 @@
 void GatewayServer::confirm_crash(dispatch::Backend& backend, const char* detected_by) {
   const TimePoint now = loop_.now();
   std::vector<uint64_t> broken;
-  for (const dispatch::BrokenExchange& exchange : std::exchange(backend.broken, {})) {
+  for (const dispatch::BrokenExchange& exchange : std::exchange(backend.broken_exchanges, {})) {
     if (now - exchange.at < admission::kUnconfirmedCrashTimeout) {
       broken.push_back(exchange.request);
     }
@@ -107,7 +108,7 @@
   }
   metrics_.count("stoat_router_backend_crashes_total",
                  {{"service", backend.record.service}, {"sign", detected_by}});
-  if (request_log_sampler_.take_lines(1, "backend crashed", now)) {
+  if (request_log_sampler_.reserve_lines(1, "backend crashed", now)) {
     log_.event(events::BackendCrashed{backend.record.id, backend.record.service, detected_by, broken.size(),
                                       to_text(broken)});
   }
@@ -131,7 +132,7 @@
   const admission::StandingReason reason = context_.crashes.standing(request, now);
   const bool single_local_crash =
       reason.crashes <= 1 && std::string_view(source) != "control" && std::string_view(source) != "good end";
-  if (!single_local_crash && request_log_sampler_.take_lines(1, "request standing", now)) {
+  if (!single_local_crash && request_log_sampler_.reserve_lines(1, "request standing", now)) {
     log_.event(events::RequestStandingChanged{to_hex(request), admission::to_text(reason.standing),
                                               reason.crashes, to_milliseconds(reason.left), source});
   }
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -29,7 +29,7 @@
   for (const fleet::QuotaLevel& level : feed_update.quotas) {
     context_.quotas.on_level(level);
   }
-  context_.quotas.on_news(loop_.now());
+  context_.quotas.note_update(loop_.now());
   quotas_known_ = true;
   update_backends(feed_update);
   if (receiving_full_state_ && feed_update.complete) {
@@ -81,7 +81,7 @@
 void GatewayServer::apply_limits(const std::vector<fleet::BackendLimit>& limits) {
   for (const fleet::BackendLimit& limit : limits) {
     const auto change = context_.limits.apply_shared_limit(limit, loop_.now());
-    if (change && request_log_sampler_.take_lines(1, "limit changed", loop_.now())) {
+    if (change && request_log_sampler_.reserve_lines(1, "limit changed", loop_.now())) {
       log_.event(events::BackendLimitChanged{change->backend, change->per_second, change->before, "control"});
     }
   }
@@ -166,21 +166,21 @@
     return;
   }
   const bool existing = context_.stores.find(changes.holder) != nullptr;
-  const std::string before = existing == changes.followed ? "" : context_.stores.to_text();
-  if (changes.followed) {
+  const std::string before = existing == changes.is_subscribed ? "" : context_.stores.to_text();
+  if (changes.is_subscribed) {
     apply_part_changes(changes, context_.stores.add(changes.holder).memory);
   } else {
     context_.stores.remove(changes.holder);
   }
-  if (existing != changes.followed) {
+  if (existing != changes.is_subscribed) {
     log_.event(events::KvCacheStoreChanged{before, context_.stores.to_text()});
   }
 }
 
 void GatewayServer::apply_part_changes(const fleet::CacheChanges& changes,
                                        placement::KvCacheEstimate& memory) const {
-  memory.follow(changes.followed ? &cache_event_validity_ : nullptr);
-  if (changes.anew) {
+  memory.follow(changes.is_subscribed ? &cache_event_validity_ : nullptr);
+  if (changes.is_full_state) {
     memory.forget_holdings();
   }
   for (const fleet::CachedPart& holding : changes.holdings) {
--- a/src/gateway/gateway_rollouts.cc
+++ b/src/gateway/gateway_rollouts.cc
@@ -18,7 +18,7 @@
   if (update.quorum_age_ms >= 0 && update.quorum_age_ms < kFreshConfirmationMs) {
     context_.versions.confirm(loop_.now() - Duration(1000 * update.quorum_age_ms));
   }
-  if (update.rollouts.empty() || !context_.versions.take(update.rollouts)) {
+  if (update.rollouts.empty() || !context_.versions.store_newer(update.rollouts)) {
     return;
   }
   std::set<uint64_t> in_progress;
@@ -28,7 +28,7 @@
     }
     log_.event(events::RolloutApplied{rollout});
   }
-  context_.answers.keep(in_progress);
+  context_.answers.retain_only(in_progress);
   other_versions_idle_.clear();
   // Deferred: it writes to all channels, which is not allowed in a message handler.
   loop_.after(Duration(0), [this] { control_link_.send_status_to_all(); });
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -97,8 +97,9 @@
   };
   context_.startup_ends_at = loop.now() + settings.max_startup_wait;
   context_.request_permits = [this] { request_permits(); };
-  control_link_.set_permit_handler(
-      [this](const fleet::PermitResponse& response) { context_.limits.on_answer(response, loop_.now()); });
+  control_link_.set_permit_handler([this](const fleet::PermitResponse& response) {
+    context_.limits.on_permit_answer(response, loop_.now());
+  });
   context_.topology = settings.topology;
   context_.place = settings.topology.location_of(settings.zone);
   context_.budget_options = settings.budget;
@@ -193,7 +194,7 @@
   }
   pool_.retire(update.retired);
   for (const fleet::TargetWeightsVersion& named : update.weights) {
-    fleet::VersionHistory& target_versions = context_.wanted[named.model];
+    fleet::VersionHistory& target_versions = context_.announced_weights[named.model];
     if (named.version > target_versions.newest()) {
       log_.event(events::TargetWeightsChanged{named.model, named.version, named.age_ms});
     }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -48,9 +48,9 @@
   void abort();
 
   /// Sets an action to call once if the client disconnects before the reply has ended.
-  void on_gone(std::function<void()> action) { on_disconnect_ = std::move(action); }
+  void on_disconnect(std::function<void()> action) { on_disconnect_ = std::move(action); }
   /// True once the client has disconnected.
-  bool gone() const { return disconnected_; }
+  bool disconnected() const { return disconnected_; }
   bool ended() const { return request_ == nullptr; }
   /// Closes the connection after this reply. Must be called before the reply starts.
   void close_after_reply() { close_after_reply_ = true; }
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -85,7 +85,7 @@
   /// Content-Length minus the body bytes parsed so far, or UINT64_MAX if the head has no Content-Length.
   uint64_t content_length() const { return parser_.content_length; }
   /// True once any byte of the message was received.
-  bool begun() const { return begun_; }
+  bool has_input() const { return begun_; }
 
  private:
   static MessageParser& owner_of(http_parser* parser) { return *static_cast<MessageParser*>(parser->data); }
--- a/src/placement/prompt_placement.cc
+++ b/src/placement/prompt_placement.cc
@@ -81,7 +81,7 @@
     group.best_cached = std::max(group.best_cached,
                                  std::min(shared, engine.memory->cached_tokens(chain, engine.weights, now)));
     const uint32_t held = std::min(shared, engine.memory->held_tokens(chain, engine.weights, now));
-    if (engine.sound && held > 0) {
+    if (engine.usable_as_source && held > 0) {
       consider_holder(group, {position, held}, engines);
     }
   }
@@ -91,7 +91,7 @@
 /// Returns whether a chain is worth sending to another region. If its shared parts take longer to compute
 /// than the distance costs, the fleet keeps a single copy; otherwise each region computes its own.
 bool worth_cross_region(const PromptChain& chain, const PlacementCosts& costs) {
-  return shared_tokens(chain) * costs.recompute_ms_per_token > costs.ways.cross_region_ms;
+  return shared_tokens(chain) * costs.recompute_ms_per_token > costs.distance_costs.cross_region_ms;
 }
 
 /// A transfer of cached tokens of the chain to an engine, and what the engine then has.
@@ -122,18 +122,19 @@
     const topology::Distance source_distance =
         topology::distance(engines[holder.position].place, engine.place);
     if (holder.position != target && holder.tokens > own_tokens &&
-        costs.moves.engine_transfer_pays(holder.tokens - own_tokens, source_distance, prefill_ms_per_token)) {
+        costs.transfers.engine_transfer_pays(holder.tokens - own_tokens, source_distance,
+                                             prefill_ms_per_token)) {
       consider_transfer(holder.tokens,
-                        costs.moves.engine_transfer_ms(holder.tokens - own_tokens, source_distance),
+                        costs.transfers.engine_transfer_ms(holder.tokens - own_tokens, source_distance),
                         holder.position);
     }
   }
   if (store != nullptr && group.stored_tokens > own_tokens) {
     const topology::Distance source_distance = topology::distance(store->place, engine.place);
-    if (costs.moves.store_transfer_pays(group.stored_tokens - own_tokens, source_distance,
-                                        prefill_ms_per_token)) {
+    if (costs.transfers.store_transfer_pays(group.stored_tokens - own_tokens, source_distance,
+                                            prefill_ms_per_token)) {
       consider_transfer(group.stored_tokens,
-                        costs.moves.store_transfer_ms(group.stored_tokens - own_tokens, source_distance),
+                        costs.transfers.store_transfer_ms(group.stored_tokens - own_tokens, source_distance),
                         std::nullopt);
     }
   }
@@ -164,7 +165,7 @@
   option.placement.source = kv_transfer.source;
   option.placement.from_store = kv_transfer.from_store;
   option.placement.worth_taking_from_store =
-      store != nullptr && costs.moves.store_transfer_pays(
+      store != nullptr && costs.transfers.store_transfer_pays(
                               shared, topology::distance(store->place, engine.place), prefill_ms_per_token);
   option.cost_ms += kv_transfer.transfer_ms;
   option.placement.missing_tokens = chain.prompt_tokens - std::min(chain.prompt_tokens, present_tokens);
@@ -181,7 +182,7 @@
   }
   option.cost_ms += engine.outstanding * costs.per_outstanding_ms;
   option.cost_ms += engine.has_outdated_weights ? costs.old_weights_ms : 0;
-  option.cost_ms += costs.ways.ms(engine.distance);
+  option.cost_ms += costs.distance_costs.ms(engine.distance);
   return option;
 }
 
@@ -199,8 +200,8 @@
   return cross_region_ms;
 }
 
-Placement place(const PromptChain& chain, const std::vector<EngineView>& engines, const StoreView* store,
-                const PlacementCosts& costs, TimePoint now) {
+Placement choose_placement(const PromptChain& chain, const std::vector<EngineView>& engines,
+                           const StoreView* store, const PlacementCosts& costs, TimePoint now) {
   const WeightsGroups groups = group_by_weights(chain, engines, store, now);
   std::optional<EngineOption> best;
   for (size_t position = 0; position < engines.size(); ++position) {
--- a/src/placement/prompt_placement.h
+++ b/src/placement/prompt_placement.h
@@ -34,7 +34,7 @@
   topology::Distance distance = topology::Distance::kSameRegion;  ///< from this router
   bool has_outdated_weights = false;  ///< a newer version of the weights is available
   bool candidate = true;              ///< may receive the request
-  bool sound = true;                  ///< may be a source of KV cache
+  bool usable_as_source = true;       ///< may be a source of KV cache
 };
 
 /// The store that is responsible for a chain.
@@ -55,8 +55,8 @@
 struct PlacementCosts {
   double per_outstanding_ms = 1.0;
   double old_weights_ms = 120.0;
-  DistanceCosts ways;
-  TransferCosts moves;
+  DistanceCosts distance_costs;
+  TransferCosts transfers;
   /// Per token of shared parts that would be copied to the engine: a copy evicts other parts.
   double copy_ms_per_token = 0.03;
   /// Per token: the benefit of not computing again what another engine holds.
@@ -74,7 +74,7 @@
 
 /// Returns the best placement. At least one of `engines` must be a candidate. `store` is nullptr if there is
 /// none.
-Placement place(const PromptChain& chain, const std::vector<EngineView>& engines, const StoreView* store,
-                const PlacementCosts& costs, TimePoint now);
+Placement choose_placement(const PromptChain& chain, const std::vector<EngineView>& engines,
+                           const StoreView* store, const PlacementCosts& costs, TimePoint now);
 
 }  // namespace stoat::placement
--- a/src/rollout/answer_aggregator.cc
+++ b/src/rollout/answer_aggregator.cc
@@ -78,7 +78,7 @@
 
 std::vector<fleet::AnswerCount> AnswerAggregator::own() const { return to_list(local_); }
 
-void AnswerAggregator::keep(const std::set<uint64_t>& rollouts) {
+void AnswerAggregator::retain_only(const std::set<uint64_t>& rollouts) {
   const auto drop = [&](AnswerTable& table) {
     std::erase_if(table, [&](const auto& entry) { return rollouts.count(entry.first.rollout) == 0; });
   };
--- a/src/rollout/answer_aggregator.h
+++ b/src/rollout/answer_aggregator.h
@@ -32,7 +32,7 @@
   /// Totals of all routers, as far as known.
   const AnswerTable& totals() const { return totals_; }
   /// Removes the counts of rollouts whose ids are not listed.
-  void keep(const std::set<uint64_t>& rollouts);
+  void retain_only(const std::set<uint64_t>& rollouts);
 
  private:
   struct ReporterState {
--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -96,7 +96,7 @@
   }
 }
 
-void AnswerCounter::keep(const std::set<uint64_t>& rollouts) {
+void AnswerCounter::retain_only(const std::set<uint64_t>& rollouts) {
   const auto is_finished = [&](const fleet::AnswerKey& key) { return rollouts.count(key.rollout) == 0; };
   std::erase_if(counts_, [&](const auto& entry) { return is_finished(entry.first); });
   std::erase_if(changed_, is_finished);
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -54,7 +54,7 @@
   void first_event(CountedRequest& send, TimePoint now);
   void end(CountedRequest& send, SendOutcome end, TimePoint now);
   /// Removes the counts of rollouts whose ids are not listed.
-  void keep(const std::set<uint64_t>& rollouts);
+  void retain_only(const std::set<uint64_t>& rollouts);
 
   bool has_changes() const { return !changed_.empty(); }
   /// The counts that changed since the last call.
--- a/src/rollout/rollout_planner.cc
+++ b/src/rollout/rollout_planner.cc
@@ -39,7 +39,7 @@
   step.from_step = view.rollout->step;
   step.phase = phase;
   step.share = share;
-  step.spread = phase == RolloutPhase::kSwitching || phase == RolloutPhase::kCompleted;
+  step.all_backends = phase == RolloutPhase::kSwitching || phase == RolloutPhase::kCompleted;
   step.reason = reason;
   return step;
 }
@@ -128,17 +128,17 @@
   const bool on_hold = view.rollout->share <= 0;
   const auto change = [&](double share, const char* reason) {
     StepServiceRollout step = make_step(view, RolloutPhase::kTrial, share, reason);
-    step.spread = view.rollout->spread;
+    step.all_backends = view.rollout->all_backends;
     return step;
   };
   if (!on_hold && view.target_sent > options.hold_share * view.all_sent + options.hold_extra_requests) {
     return change(0, "held: it has had its share of the requests");
   }
   const bool below_target = view.target_sent < options.share * view.all_sent + options.extra_requests;
-  if (on_hold && below_target && view.in_step >= pause_after(view, options)) {
+  if (on_hold && below_target && view.time_in_step >= pause_after(view, options)) {
     return change(trial_share(view, options), "on trial again");
   }
-  if (on_hold || view.in_step < options.burst) {
+  if (on_hold || view.time_in_step < options.burst) {
     return std::nullopt;
   }
   if (view.rollout->share > mean_share(view, options) / options.min_load_fraction) {
@@ -157,7 +157,8 @@
   const Duration left = time_left(view);
   const bool is_last_chance = left <= min_switch_lead(view, options);
   const bool switch_due = left <= switch_lead(view, options);
-  const bool no_other_version = view.others_ready == 0 && view.others_gone >= options.others_gone;
+  const bool no_other_version =
+      view.others_ready == 0 && view.time_without_others >= options.max_time_without_others;
   const bool has_capacity =
       view.target_ready > 0 && static_cast<double>(view.target_ready) >=
                                    options.min_capacity_ratio * static_cast<double>(view.others_ready);
@@ -173,11 +174,12 @@
     return step;
   }
   const Duration trial_end = order_duration(view) - switch_lead(view, options);
-  if (!view.rollout->spread && view.rollout->share > 0 && view.target_ready > options.max_rotating_backends &&
+  if (!view.rollout->all_backends && view.rollout->share > 0 &&
+      view.target_ready > options.max_rotating_backends &&
       view.age >= fraction_of(trial_end, options.spread_after_fraction)) {
     StepServiceRollout step =
         make_step(view, RolloutPhase::kTrial, view.rollout->share, "on trial at all of its back ends");
-    step.spread = true;
+    step.all_backends = true;
     return step;
   }
   return std::nullopt;
@@ -190,7 +192,7 @@
     return start_rollback(view, "nothing is left to switch to");
   }
   const bool observed_long_enough =
-      view.in_step >= options.min_switch_duration || left <= options.confirmation_time;
+      view.time_in_step >= options.min_switch_duration || left <= options.confirmation_time;
   if (observed_long_enough && view.all_applied && view.others_running == 0) {
     return make_step(view, RolloutPhase::kCompleted, 1, "all routers have left the other versions");
   }
@@ -200,8 +202,8 @@
 std::optional<StepServiceRollout> step_from_returning(const RolloutView& view,
                                                       const PlannerOptions& options) {
   const Duration left = time_left(view);
-  const bool final_window = left <= options.final_window && view.in_step >= options.final_window;
-  if (view.all_applied || final_window || view.in_step >= options.rollback_timeout) {
+  const bool final_window = left <= options.final_window && view.time_in_step >= options.final_window;
+  if (view.all_applied || final_window || view.time_in_step >= options.rollback_timeout) {
     return make_step(view, RolloutPhase::kRolledBack, 0, view.rollout->reason);
   }
   return std::nullopt;
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -52,7 +52,7 @@
       0.5;  ///< ready backends needed for a switch, relative to those of other versions
   Duration min_switch_duration =
       1s;  ///< from the switch to completion, to observe the version under full load
-  Duration others_gone =
+  Duration max_time_without_others =
       1500ms;  ///< after this time without backends of other versions, there is no fallback
   /// A rollback ends after this time even without all confirmations: a router that has been out of contact
   /// for so long accepts no keys any more.
@@ -67,13 +67,13 @@
 /// Input for the decision on the next step.
 struct RolloutView {
   const fleet::ServiceRollout* rollout = nullptr;
-  Duration age{0};      ///< time since the order
-  Duration in_step{0};  ///< time since the last step
+  Duration age{0};           ///< time since the order
+  Duration time_in_step{0};  ///< time since the last step
   bool service_known = true;
-  size_t target_ready = 0;  ///< backends of the target version that may get requests
-  size_t others_ready = 0;  ///< the same for other versions
-  Duration others_gone{0};  ///< how long there has been no backend of another version
-  Duration longest_run{0};  ///< longest time that a request of the service may take
+  size_t target_ready = 0;          ///< backends of the target version that may get requests
+  size_t others_ready = 0;          ///< the same for other versions
+  Duration time_without_others{0};  ///< how long there has been no backend of another version
+  Duration longest_run{0};          ///< longest time that a request of the service may take
   Judgement judgement;
   double target_sent = 0;       ///< requests sent to the target version
   double all_sent = 0;          ///< requests sent to all versions
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -39,7 +39,7 @@
   return is_active ? 0 : 1;
 }
 
-bool ServiceVersions::take(const std::vector<fleet::ServiceRollout>& rollouts) {
+bool ServiceVersions::store_newer(const std::vector<fleet::ServiceRollout>& rollouts) {
   bool has_newer = false;
   for (const fleet::ServiceRollout& received : rollouts) {
     fleet::ServiceRollout& known = rollouts_[received.service];
@@ -117,7 +117,7 @@
 
 std::vector<std::string> sampled_backends(std::vector<std::string> ids,
                                           const fleet::ServiceRollout& rollout) {
-  if (rollout.spread) {
+  if (rollout.all_backends) {
     return ids;
   }
   const size_t wanted = sample_size(rollout.share, ids.size());
--- a/src/rollout/service_versions.h
+++ b/src/rollout/service_versions.h
@@ -28,7 +28,7 @@
 class ServiceVersions {
  public:
   /// Stores the rollouts that are newer than the known ones. Returns true if there was any.
-  bool take(const std::vector<fleet::ServiceRollout>& rollouts);
+  bool store_newer(const std::vector<fleet::ServiceRollout>& rollouts);
   /// Records when a quorum last confirmed the known rollouts.
   void confirm(TimePoint confirmed_at) { confirmed_at_ = std::max(confirmed_at_, confirmed_at); }
   /// The last rollout of a service, or nullptr.
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -35,7 +35,7 @@
 
 /// Counts the parts of a message under their purposes. The caller assigns the remaining bytes.
 void split_bytes(const fleet::PeerUpdate& update, PurposeBytes& bytes) {
-  if (update.anew) {
+  if (update.is_full_state) {
     return;
   }
   bytes[Purpose::kBackends] =
@@ -119,7 +119,7 @@
   std::visit([&](const auto& alternative) { split_bytes(alternative, bytes); }, message.value);
   const auto* update = std::get_if<fleet::PeerUpdate>(&message.value);
   const Purpose remainder_purpose =
-      update != nullptr && update->anew ? Purpose::kFullStates : purpose_of(message);
+      update != nullptr && update->is_full_state ? Purpose::kFullStates : purpose_of(message);
   bytes[remainder_purpose] += frame_bytes - std::min<uint64_t>(frame_bytes, bytes.total());
   return bytes;
 }
--- a/standins/backend_server.cc
+++ b/standins/backend_server.cc
@@ -130,7 +130,7 @@
   std::vector<http::Header> headers = answer_headers(*exchange);
   headers.push_back({names_.not_run, "1"});
   if (!misdirected && settings_.rest_s > 0) {
-    headers.push_back({names_.rest, std::to_string(settings_.rest_s)});
+    headers.push_back({names_.retry_after, std::to_string(settings_.rest_s)});
   }
   exchange->reply(misdirected ? kMisdirected : kUnavailable, "text/plain", "not run\n", headers);
   return true;
@@ -163,7 +163,7 @@
 void BackendServer::run_call(const http::ExchangePtr& exchange) {
   loop_.after(settings_.work_time, [this, exchange] {
     --running_;
-    if (exchange->gone()) {
+    if (exchange->disconnected()) {
       return;
     }
     const bool fails = settings_.fails_each > 0 && ++calls_ % settings_.fails_each == 0;
@@ -191,7 +191,7 @@
   prefill_free_at_ = std::max(prefill_free_at_, loop_.now()) + prefill;
   loop_.after(prefill_free_at_ - loop_.now(), [this, stream, parts, salt, cached] {
     cache_.store(salt, parts);
-    if (stream->exchange->gone()) {
+    if (stream->exchange->disconnected()) {
       --running_;
       return;
     }
@@ -203,7 +203,7 @@
 }
 
 void BackendServer::send_next(const std::shared_ptr<Stream>& stream) {
-  if (stream->exchange->gone()) {
+  if (stream->exchange->disconnected()) {
     --running_;
     return;
   }
@@ -220,7 +220,7 @@
 
 void BackendServer::take_order(const http::ExchangePtr& exchange) {
   const json body = json::parse(exchange->body(), nullptr, false);
-  const control::JsonFieldNames& names = interface_.bodies;
+  const control::JsonFieldNames& names = interface_.field_names;
   const bool known = body.is_object() && body.value(names.operation, "") == names.load_weights &&
                      body.value("model", "") == settings_.model;
   if (!known || exchange->header(interface_.expected_backend_header) != id_) {
@@ -273,8 +273,8 @@
         {event.number, event.tokens > 0 ? "+" : "-", event.salt, event.part, event.tokens, settings_.model});
   }
   const json answer = {{"epoch", epoch_},
-                       {interface_.bodies.next_event, cache_.last_event()},
-                       {interface_.bodies.gap, !cache_.has_all_after(since)},
+                       {interface_.field_names.next_event, cache_.last_event()},
+                       {interface_.field_names.gap, !cache_.has_all_after(since)},
                        {"events", events}};
   exchange->reply(kOk, kJson, answer.dump());
 }
--- a/tests/property/fair_queue_property_test.cc
+++ b/tests/property/fair_queue_property_test.cc
@@ -14,7 +14,7 @@
   admission::FairQueue queue;
   const auto count = *rc::gen::inRange(1, 60);
   for (int number = 0; number < count; ++number) {
-    admission::Waiting waiting;
+    admission::FairQueueEntry waiting;
     waiting.request_id = static_cast<uint64_t>(number);
     waiting.flow = "flow-" + std::to_string(*rc::gen::inRange(0, 4));
     waiting.priority = *rc::gen::inRange(0, 3);
@@ -24,7 +24,7 @@
   int32_t last_priority = 100;
   std::map<std::pair<int32_t, std::string>, uint64_t> last_of_flow;
   int popped = 0;
-  while (const auto waiting = queue.pop([](const admission::Waiting&) { return true; })) {
+  while (const auto waiting = queue.pop([](const admission::FairQueueEntry&) { return true; })) {
     ++popped;
     RC_ASSERT(waiting->priority <= last_priority);
     last_priority = waiting->priority;
@@ -46,7 +46,7 @@
   }
   std::map<std::string, int> served;
   for (int number = 0; number < 300; ++number) {
-    ++served[queue.pop([](const admission::Waiting&) { return true; })->flow];
+    ++served[queue.pop([](const admission::FairQueueEntry&) { return true; })->flow];
   }
   const double ratio = static_cast<double>(served["heavy"]) / std::max(1, served["light"]);
   RC_ASSERT(ratio > heavy_share * 0.85);
--- a/tests/property/permit_property_test.cc
+++ b/tests/property/permit_property_test.cc
@@ -28,7 +28,7 @@
   options.routers = *rc::gen::inRange<size_t>(1, 300);
   options.limit = 0.25 * std::pow(2.0, *rc::gen::inRange(0, 10));
   options.demand = *rc::gen::element(0.2, 1.0, 5.0, 20.0);
-  options.most_delay = Duration(*rc::gen::inRange(2000, 400000));
+  options.max_message_delay = Duration(*rc::gen::inRange(2000, 400000));
   options.loss = *rc::gen::element(0.0, 0.05, 0.3);
   options.seed = *rc::gen::arbitrary<uint64_t>();
   PermitFleet fleet(options);
@@ -50,8 +50,8 @@
         break;
     }
   }
-  RC_LOG() << "sent " << fleet.sent() << ", maximum in a window " << fleet.most_in_window() << "\n";
-  RC_ASSERT(static_cast<double>(fleet.most_in_window()) <= bound_of(options.limit));
+  RC_LOG() << "sent " << fleet.sent() << ", maximum in a window " << fleet.max_in_window() << "\n";
+  RC_ASSERT(static_cast<double>(fleet.max_in_window()) <= bound_of(options.limit));
 }
 
 class PermitFleetTest : public ::testing::TestWithParam<size_t> {};
@@ -65,14 +65,14 @@
     PermitFleet fleet(options);
     fleet.run_for(5s);  // a new leader first waits for its predecessor's permits to expire
     const size_t before = fleet.sent();
-    const size_t requests_before = fleet.questions();
+    const size_t requests_before = fleet.received_permit_requests();
     constexpr Duration kSpan = 40s;
     fleet.run_for(kSpan);
     const auto sent = static_cast<double>(fleet.sent() - before);
     EXPECT_GT(sent, kMinUsedFraction * limit * to_seconds(kSpan)) << limit;
-    EXPECT_LE(static_cast<double>(fleet.most_in_window()), bound_of(limit)) << limit;
+    EXPECT_LE(static_cast<double>(fleet.max_in_window()), bound_of(limit)) << limit;
     const double permit_requests =
-        static_cast<double>(fleet.questions() - requests_before) / to_seconds(kSpan);
+        static_cast<double>(fleet.received_permit_requests() - requests_before) / to_seconds(kSpan);
     // Each grant takes one or two permit requests, and each router without a permit asks once in the maximum
     // wait.
     const double max_wait_s = to_seconds(admission::kMaxPermitWait);
--- a/tests/property/quota_property_test.cc
+++ b/tests/property/quota_property_test.cc
@@ -40,7 +40,7 @@
   fleet.run_for(24s);
   fleet.reset_counts();
   fleet.run_for(24s);
-  EXPECT_GT(fleet.served(), kMinUsedFraction * limit_per_second(options) * 24);
+  EXPECT_GT(fleet.admitted_tokens(), kMinUsedFraction * limit_per_second(options) * 24);
   EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
@@ -50,7 +50,7 @@
   QuotaFleet fleet(options);
   fleet.run_idle_for(kIdleTime);
   fleet.run_for(30s);
-  EXPECT_EQ(fleet.refused(), 0U);
+  EXPECT_EQ(fleet.refused_requests(), 0U);
 }
 
 TEST(FleetQuota, LowerLimitHoldsAfterOneWindow) {
@@ -60,7 +60,7 @@
   QuotaFleet fleet(options);
   fleet.run_idle_for(kIdleTime);
   fleet.run_for(10s);
-  EXPECT_EQ(fleet.refused(), 0U);
+  EXPECT_EQ(fleet.refused_requests(), 0U);
   fleet.set_rate(150000);
   fleet.run_for(20s);
   EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
@@ -107,7 +107,7 @@
   }
   fleet.reset_counts();
   fleet.run_for(4s);
-  EXPECT_GT(fleet.served(), 0.1 * 118000 * 4);
+  EXPECT_GT(fleet.admitted_tokens(), 0.1 * 118000 * 4);
   for (size_t index = 0; index < fleet.router_count(); ++index) {
     fleet.cut_router(index, false);
   }
@@ -178,7 +178,7 @@
   QuotaFleet fleet(options);
   fleet.run_idle_for(kIdleTime);
   fleet.run_for(10s);
-  RC_ASSERT(fleet.refused() == 0U);
+  RC_ASSERT(fleet.refused_requests() == 0U);
 }
 
 // A member that was cut off receives what was spent meanwhile all at once, and counts it as spent at that
@@ -197,8 +197,8 @@
   fleet.cut_member(0, false);
   fleet.run_for(3s);
   constexpr double kMaxRefusedFraction = 0.05;
-  const double requests = fleet.asked() / options.mean_cost;
-  RC_ASSERT(static_cast<double>(fleet.refused()) <= 1 + kMaxRefusedFraction * requests);
+  const double requests = fleet.requested_tokens() / options.mean_cost;
+  RC_ASSERT(static_cast<double>(fleet.refused_requests()) <= 1 + kMaxRefusedFraction * requests);
 }
 
 }  // namespace
--- a/tests/simulation/control_scenarios_test.cc
+++ b/tests/simulation/control_scenarios_test.cc
@@ -71,7 +71,7 @@
   simulation_.member(frozen).thaw();
   // Asked directly right after it woke, when it may still believe that it leads.
   simulation_.member(frozen).run([](control::ControlCore& core, TimePoint now) {
-    core.call(999999, make_configuration(1, "of the frozen leader"), now);
+    core.propose_command(999999, make_configuration(1, "of the frozen leader"), now);
   });
   simulation_.run_for(3s);
   for (size_t position = 0; position < simulation_.member_count(); ++position) {
@@ -287,7 +287,7 @@
   const size_t leader = wait_for_leader();
   must_put(1);
   simulation_.member(leader).run(
-      [](control::ControlCore& core, TimePoint now) { core.replica().hand_over(now); });
+      [](control::ControlCore& core, TimePoint now) { core.replica().transfer_leadership(now); });
   const TimePoint asked_at = simulation_.events().now();
   wait_for_leader_other_than(leader);
   EXPECT_LT(simulation_.events().now() - asked_at, Duration(200ms))
--- a/tests/support/fake_engine.h
+++ b/tests/support/fake_engine.h
@@ -26,7 +26,7 @@
 
   /// Adds a request to the end of the queue and returns its times.
   /// `response_ms`: time from the first event to the end of the response.
-  FakeRequestTimes take(double now_ms, double prompt_tokens, double response_ms) {
+  FakeRequestTimes enqueue(double now_ms, double prompt_tokens, double response_ms) {
     remove_past_events(now_ms);
     double prefill_start_ms = now_ms;
     if (end_times_.size() >= slots_) {
--- a/tests/support/fleet_members.h
+++ b/tests/support/fleet_members.h
@@ -86,12 +86,12 @@
   }
   void heartbeat(const fleet::BackendRecord& record) {
     run_on(loop_, [&] {
-      server_->heartbeat(record);
+      server_->receive_heartbeat(record);
       return true;
     });
   }
   /// Returns the number of weight orders that this member has sent to engines.
-  size_t orders() {
+  size_t order_count() {
     return run_on(loop_, [this] { return engine_orders_.orders.size(); });
   }
 
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -21,10 +21,10 @@
 /// Settings of the simulation.
 struct PermitFleetOptions {
   size_t routers = 7;
-  double limit = 1.2;          ///< of the backend, in requests per second from all routers together
-  double demand = 4;           ///< requests per second for the backend that arrive at each router
-  Duration most_delay = 20ms;  ///< maximum delay of a message
-  double loss = 0;             ///< probability that a message is lost
+  double limit = 1.2;                 ///< of the backend, in requests per second from all routers together
+  double demand = 4;                  ///< requests per second for the backend that arrive at each router
+  Duration max_message_delay = 20ms;  ///< maximum delay of a message
+  double loss = 0;                    ///< probability that a message is lost
   uint64_t seed = 1;
 };
 
@@ -64,15 +64,15 @@
       leaders_.back().grants_until = now_ + admission::kPermitLease;
     }
     leaders_.emplace_back();
-    leaders_.back().book.begin(now_);
+    leaders_.back().book.start_leading(now_);
   }
 
   /// Returns the maximum number of requests sent within any window so far.
-  size_t most_in_window() const { return max_in_window_; }
+  size_t max_in_window() const { return max_in_window_; }
   /// Returns the total number of requests sent.
   size_t sent() const { return total_sent_; }
   /// Returns the number of permit requests that reached a current or previous leader.
-  size_t questions() const { return permit_requests_; }
+  size_t received_permit_requests() const { return permit_requests_; }
 
  private:
   static constexpr Duration kStep = 5ms;
@@ -92,7 +92,7 @@
   /// Delivers a message after a random delay by running `action`, unless the message is lost.
   void send_message(std::function<void()> action) {
     if (!random_.chance(options_.loss)) {
-      const Duration delay = Duration(random_.between(1000, options_.most_delay.count()));
+      const Duration delay = Duration(random_.between(1000, options_.max_message_delay.count()));
       in_flight_.add(now_ + delay, std::move(action));
     }
   }
@@ -108,13 +108,13 @@
   void run_router(size_t index) {
     Router& router = routers_[index];
     for (; !router.received_answers.empty(); router.received_answers.pop_front()) {
-      router.limits->on_answer(router.received_answers.front(), now_);
+      router.limits->on_permit_answer(router.received_answers.front(), now_);
     }
     for (; router.next_request_at <= now_;
          router.next_request_at += from_seconds(random_.exponential(1 / options_.demand))) {
-      if (router.limits->spend("b", now_)) {
+      if (router.limits->consume_permit("b", now_)) {
         record_send();
-      } else if (router.limits->want("b", now_)) {
+      } else if (router.limits->note_unmet_request("b", now_)) {
         request_permits(index);
       }
     }
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -121,11 +121,11 @@
   /// Returns the maximum of spending within a window, as a fraction of the bound; above 1 it was exceeded.
   double max_fraction_of_bound() const { return max_fraction_of_bound_; }
   /// Returns the cost of the admitted requests, in tokens.
-  double served() const { return admitted_tokens_; }
+  double admitted_tokens() const { return admitted_tokens_; }
   /// Returns the cost of all requests, in tokens.
-  double asked() const { return requested_tokens_; }
+  double requested_tokens() const { return requested_tokens_; }
   /// Returns the number of requests refused because of the quota.
-  size_t refused() const { return refused_requests_; }
+  size_t refused_requests() const { return refused_requests_; }
   /// Resets the totals of requested and admitted tokens and of refused requests.
   void reset_counts() { admitted_tokens_ = requested_tokens_ = 0, refused_requests_ = 0; }
   size_t router_count() const { return routers_.size(); }
@@ -301,7 +301,7 @@
       const uint64_t member_start = target->book.start_id();
       in_flight_.add(now_ + options_.delay, [this, member, member_start, batch] {
         if (members_[member]->book.start_id() == member_start) {
-          members_[member]->book.on_router(batch->spending, now_);
+          members_[member]->book.record_router_spending(batch->spending, now_);
         }
       });
     }
@@ -321,8 +321,8 @@
   }
   /// Sends a router the levels that have changed since it last received any from the member.
   void send_levels(Router& router, Member& member, size_t index) {
-    router.gate.on_news(now_);
-    router.received_revisions[index] = member.book.told().visit_since(
+    router.gate.note_update(now_);
+    router.received_revisions[index] = member.book.levels().visit_since(
         router.received_revisions[index], SIZE_MAX, [&](const std::string&, const fleet::QuotaLevel* level) {
           if (level != nullptr) {
             router.gate.on_level(*level);
@@ -357,9 +357,9 @@
     const Duration age = members_[from]->book.age(now_);
     const auto scope = send_all ? admission::SumsScope::kAll : admission::SumsScope::kChanged;
     send_message([this, from, to, member_start, send_all, scope, sent_sums, windows, age] {
-      members_[to]->book.on_peer("m" + std::to_string(from), member_start, scope, sent_sums, now_);
+      members_[to]->book.record_peer_sums("m" + std::to_string(from), member_start, scope, sent_sums, now_);
       if (send_all) {
-        members_[to]->book.adopt(windows, age, now_);
+        members_[to]->book.adopt_window_spending(windows, age, now_);
       }
     });
   }
--- a/tests/support/simulated_rollout.h
+++ b/tests/support/simulated_rollout.h
@@ -49,8 +49,10 @@
 /// Draws the conditions of a rollout. `bad`: the target version has a fault.
 inline RolloutConditions random_rollout_conditions(uint64_t seed, bool bad) {
   Random random(seed);
-  const auto uniform = [&](double low, double high) { return low + (high - low) * random.unit(); };
-  const auto log_uniform = [&](double low, double high) { return low * std::pow(high / low, random.unit()); };
+  const auto uniform = [&](double low, double high) { return low + (high - low) * random.uniform_real(); };
+  const auto log_uniform = [&](double low, double high) {
+    return low * std::pow(high / low, random.uniform_real());
+  };
   RolloutConditions conditions;
   conditions.duration = from_seconds(log_uniform(8, 30));
   conditions.rate = log_uniform(60, 1500);
@@ -156,16 +158,16 @@
   }
   /// Returns a number from the standard normal distribution.
   double normal() {
-    const double radius = std::sqrt(-2 * std::log(1 - random_.unit()));
-    return radius * std::cos(2 * 3.14159265358979 * random_.unit());
+    const double radius = std::sqrt(-2 * std::log(1 - random_.uniform_real()));
+    return radius * std::cos(2 * 3.14159265358979 * random_.uniform_real());
   }
   uint64_t poisson(double mean) {
     if (mean > 30) {  // normal approximation
       return static_cast<uint64_t>(std::max(0.0, std::round(mean + std::sqrt(mean) * normal())));
     }
     uint64_t count = 0;
-    for (double product = random_.unit(), limit = std::exp(-mean); product > limit;
-         product *= random_.unit()) {
+    for (double product = random_.uniform_real(), limit = std::exp(-mean); product > limit;
+         product *= random_.uniform_real()) {
       ++count;
     }
     return count;
@@ -330,7 +332,7 @@
     rollout::RolloutView view;
     view.rollout = &rollout_;
     view.age = now_;
-    view.in_step = now_ - last_step_at_;
+    view.time_in_step = now_ - last_step_at_;
     view.target_ready = now_ >= conditions_.startup_delay ? conditions_.backends : 0;
     view.others_ready = conditions_.backends;
     view.longest_run = 6s;
@@ -345,7 +347,7 @@
     ++rollout_.step;
     rollout_.phase = next->phase;
     rollout_.share = next->share;
-    rollout_.spread = next->spread;
+    rollout_.all_backends = next->all_backends;
     rollout_.reason = next->reason;
     last_step_at_ = now_;
     if (next->phase == fleet::RolloutPhase::kSwitching) {
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -26,7 +26,8 @@
     orders.push_back(order);
     on_answer(control::OrderAnswer::kTaken);
   }
-  void ask(const std::string&, std::function<void(const control::EngineReport*)> on_report) override {
+  void request_report(const std::string&,
+                      std::function<void(const control::EngineReport*)> on_report) override {
     on_report(nullptr);
   }
   void poll_cache_events(const std::string&, uint64_t,
@@ -234,17 +235,17 @@
     }
     records_.push_back(record);
     run_on(control_loop_, [&] {
-      control_->heartbeat(record);
+      control_->receive_heartbeat(record);
       return true;
     });
     ASSERT_TRUE(wait_for([&] { return router_->knows_backend(id); }));
   }
   /// Sends another heartbeat for each engine added with add_engine(). Without heartbeats, engines count as
   /// lost after a few seconds.
-  void beat() {
+  void send_engine_heartbeats() {
     for (fleet::BackendRecord& record : records_) {
       record.sequence = ++sequence_;
-      run_on(control_loop_, [&] { return control_->heartbeat(record); });
+      run_on(control_loop_, [&] { return control_->receive_heartbeat(record); });
     }
   }
   /// Registers an engine of service "calls" at an address and waits until the router knows it.
@@ -257,7 +258,7 @@
     record.slots = 8;
     record.sequence = 1;
     run_on(control_loop_, [&] {
-      control_->heartbeat(record);
+      control_->receive_heartbeat(record);
       return true;
     });
     ASSERT_TRUE(wait_for([&] { return router_->knows_backend(id); }));
@@ -273,14 +274,14 @@
            "\r\nX-Deadline-Ms: 2000\r\nAuthorization: Bearer " + key + "\r\n" + headers + "\r\n";
   }
   /// Sends a request on a new connection that closes after it, and returns the whole response.
-  std::string ask(const std::string& method, const std::string& path, const std::string& id,
-                  const std::string& headers = "", const std::string& key = "k1") {
+  std::string send_request(const std::string& method, const std::string& path, const std::string& id,
+                           const std::string& headers = "", const std::string& key = "k1") {
     RawClient client(router_port_);
     client.send(request(method, path, id, headers + "Connection: close\r\n", key));
     return client.read_all();
   }
   /// Returns the headers that identify a response as the engine's own response to the request with this ID.
-  static std::string own(const std::string& id) {
+  static std::string engine_headers_for(const std::string& id) {
     return "X-Request-Id: " + id + "\r\nX-Answer-Signature: s\r\n";
   }
 
--- a/tests/unit/assigned_caches_test.cc
+++ b/tests/unit/assigned_caches_test.cc
@@ -63,7 +63,7 @@
   backends_.set(changed.id, changed);
   run_update();
   EXPECT_EQ(assignment_.evaluations(), before + 1);
-  EXPECT_TRUE(assignment_.knows(added.id));
+  EXPECT_TRUE(assignment_.contains(added.id));
 }
 
 TEST_F(CacheDutyTest, ReportsARemovedBackendOnce) {
@@ -71,18 +71,18 @@
   backends_.erase("e5");
   run_update();
   EXPECT_EQ(assignment_.take_removed_backends(), std::vector<std::string>{"e5"});
-  EXPECT_FALSE(assignment_.knows("e5"));
+  EXPECT_FALSE(assignment_.contains("e5"));
   run_update();
   EXPECT_TRUE(assignment_.take_removed_backends().empty());
 }
 
 TEST_F(CacheDutyTest, ReassignsTheCachesOfALostMember) {
   run_update();
-  const size_t before = assignment_.mine().size();
+  const size_t before = assignment_.assigned().size();
   // m6 is in the same zone as m1.
   std::erase_if(members_, [](const auto& member) { return member.address == "m6"; });
   EXPECT_TRUE(run_update());
-  EXPECT_GT(assignment_.mine().size(), before);
+  EXPECT_GT(assignment_.assigned().size(), before);
 }
 
 TEST_F(CacheDutyTest, ReevaluatesAllCachesAfterAnInterval) {
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -125,7 +125,7 @@
       });
     }
     for (; Clock::now() < end; std::this_thread::sleep_for(kHeartbeatInterval)) {
-      beat();
+      send_engine_heartbeats();
     }
     for (std::thread& caller : callers) {
       caller.join();
@@ -181,7 +181,7 @@
   size_t refused = 0;
   const auto end = Clock::now() + std::chrono::seconds(6);
   for (size_t number = 0; Clock::now() < end; ++number) {
-    beat();
+    send_engine_heartbeats();
     const auto start = Clock::now();
     const std::string answer = send_through(0, "beyond" + std::to_string(number));
     served += status_of(answer) == "HTTP/1.1 200" ? 1 : 0;
@@ -201,21 +201,21 @@
   admission::BackendLimits limits;
   limits.record_reported_limit("b", 1, 1s);
   const auto grant_one = [&](TimePoint now) {
-    limits.want("b", now);
+    limits.note_unmet_request("b", now);
     const uint64_t number = limits.take_permit_request(now).number;
     fleet::PermitResponse answer;
     answer.number = number;
     answer.terms.push_back({"b", 1, 0});
-    limits.on_answer(answer, now);
+    limits.on_permit_answer(answer, now);
   };
   grant_one(2s);
-  ASSERT_TRUE(limits.spend("b", 2s));
+  ASSERT_TRUE(limits.consume_permit("b", 2s));
   EXPECT_FALSE(limits.may_send("b", 2s));
-  limits.give_back("b", 2s, 2s);
-  EXPECT_TRUE(limits.spend("b", 2s));
+  limits.return_permit("b", 2s, 2s);
+  EXPECT_TRUE(limits.consume_permit("b", 2s));
   grant_one(5s);
-  limits.give_back("b", 2s, 5s);
-  EXPECT_TRUE(limits.spend("b", 5s));
+  limits.return_permit("b", 2s, 5s);
+  EXPECT_TRUE(limits.consume_permit("b", 5s));
   EXPECT_FALSE(limits.may_send("b", 5s)) << "a permit of an earlier grant was returned";
 }
 
--- a/tests/unit/cache_event_poller_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -23,7 +23,7 @@
     std::function<void(const CacheEvents*)> answer;
   };
   void send(const control::LoadWeightsOrder&, std::function<void(control::OrderAnswer)>) override {}
-  void ask(const std::string&, std::function<void(const control::EngineReport*)>) override {}
+  void request_report(const std::string&, std::function<void(const control::EngineReport*)>) override {}
   void poll_cache_events(const std::string& address, uint64_t since,
                          std::function<void(const CacheEvents*)> on_events) override {
     requests.push_back({address, since, std::move(on_events)});
@@ -62,8 +62,8 @@
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].holder, "e1");
-  EXPECT_TRUE(changes[0].followed);
-  EXPECT_TRUE(changes[0].anew);
+  EXPECT_TRUE(changes[0].is_subscribed);
+  EXPECT_TRUE(changes[0].is_full_state);
   EXPECT_EQ(changes[0].claim, 1U);
   EXPECT_EQ(changes[0].epoch, 7U);
   EXPECT_EQ(changes[0].next_event, 3U);
@@ -94,7 +94,7 @@
 TEST_F(CacheWatchTest, InitialReadOmitsDroppedParts) {
   poll_and_answer(7, 9, {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kOtherPart, 2, 0}});
   const auto changes = watch_.take_changes();
-  ASSERT_TRUE(changes.at(0).anew);
+  ASSERT_TRUE(changes.at(0).is_full_state);
   EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 2, 100}}));
 }
 
@@ -139,7 +139,7 @@
   engines_.answer(&events);
   const auto changes = new_follower.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_FALSE(changes[0].anew);  // what was reported before is still valid
+  EXPECT_FALSE(changes[0].is_full_state);  // what was reported before is still valid
   EXPECT_EQ(changes[0].claim, 5U);
 }
 
@@ -149,7 +149,7 @@
   poll_and_answer(8, 4, {{kPart, 2, 100}});  // later events of the new epoch, without its first ones
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_TRUE(changes[0].anew);
+  EXPECT_TRUE(changes[0].is_full_state);
   EXPECT_TRUE(changes[0].holdings.empty());
   now_ += 2s;
   watch_.poll(now_);
@@ -162,7 +162,7 @@
   poll_and_answer(7, 9000, {}, true);
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_TRUE(changes[0].anew);
+  EXPECT_TRUE(changes[0].is_full_state);
   EXPECT_TRUE(changes[0].holdings.empty());
 }
 
@@ -174,7 +174,7 @@
   engines_.answer(nullptr);
   const auto changes = watch_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_FALSE(changes[0].followed);
+  EXPECT_FALSE(changes[0].is_subscribed);
 }
 
 TEST_F(CacheWatchTest, IgnoresAnAnswerForAnEarlierClaim) {
--- a/tests/unit/control_core_test.cc
+++ b/tests/unit/control_core_test.cc
@@ -42,7 +42,7 @@
   append.term = 1;
   append.log_index = 1;
   append.log_term = 1;
-  core.on_peer(append, TimePoint(1s));
+  core.on_peer_message(append, TimePoint(1s));
   EXPECT_FALSE(core.wants_to_join());
 }
 
--- a/tests/unit/crashing_request_test.cc
+++ b/tests/unit/crashing_request_test.cc
@@ -79,7 +79,7 @@
         start_engine();
       }
     }
-    beat();
+    send_engine_heartbeats();
   }
   std::string send_to_router(size_t router, const std::string& id, const std::string& body) {
     test::RawClient client(ports_[router]);
@@ -180,7 +180,7 @@
        tries < kMaxTries && answer.find("back ends crashed under the request") != std::string::npos;
        ++tries) {
     std::this_thread::sleep_for(milliseconds(200));
-    beat();  // includes the crashed back ends
+    send_engine_heartbeats();  // includes the crashed back ends
     answer =
         send_to_router(1, "trial" + std::to_string(tries), kCrashing);  // refused until there is a permit
   }
--- a/tests/unit/dead_engines_test.cc
+++ b/tests/unit/dead_engines_test.cc
@@ -71,7 +71,7 @@
   constexpr Duration kMaxResponseTime = 1400ms;  // the request has a deadline of 2 s
   for (int i = 0; i < 12; ++i) {  // each goes to a random engine until the unresponsive one is ejected
     const auto begin = std::chrono::steady_clock::now();
-    EXPECT_EQ(status_of(ask("GET", "/safe/", "q" + std::to_string(i))), "HTTP/1.1 200");
+    EXPECT_EQ(status_of(send_request("GET", "/safe/", "q" + std::to_string(i))), "HTTP/1.1 200");
     EXPECT_LT(std::chrono::steady_clock::now() - begin, kMaxResponseTime);
   }
 }
@@ -79,10 +79,10 @@
 TEST_F(UnresponsiveEngineTest, SlowButReachableEngineKeepsItsRequest) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
     return {standins::wait_step(std::chrono::milliseconds(1200)),
-            send_step(whole_answer(200, own(request.header("X-Request-Id")), "body"))};
+            send_step(whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "body"))};
   });
   add_engine("slow", "calls", engine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
@@ -100,7 +100,7 @@
   add_dead_engine("dead");
   add_engine("alive", "calls", engine);
   for (int i = 0; i < 12; ++i) {  // each goes to a random engine first
-    EXPECT_EQ(status_of(ask("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
+    EXPECT_EQ(status_of(send_request("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
   }
 }
 
@@ -113,7 +113,7 @@
   }
   add_engine("alive", "calls", engine);
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(status_of(ask("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
+    EXPECT_EQ(status_of(send_request("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
   }
 }
 
@@ -141,7 +141,7 @@
   constexpr Duration kMaxResponseTime = 1400ms;
   for (int i = 0; i < 12; ++i) {  // each goes to a random engine until the unresponsive one is ejected
     const auto begin = std::chrono::steady_clock::now();
-    EXPECT_EQ(status_of(ask("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
+    EXPECT_EQ(status_of(send_request("GET", "/once/", "q" + std::to_string(i))), "HTTP/1.1 200");
     EXPECT_LT(std::chrono::steady_clock::now() - begin, kMaxResponseTime);
   }
 }
--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -86,7 +86,7 @@
     queue.waiting_tokens = static_cast<uint64_t>(engines_[engine].waiting_tokens(now_ms_));
     const auto own_tokens = static_cast<uint64_t>(tokens);
     const double expected = expect_first_event(service_, speeds_[engine], queue, own_tokens).total_ms();
-    const FakeRequestTimes run = engines_[engine].take(now_ms_, tokens, random_.exponential(kAnswerMs));
+    const FakeRequestTimes run = engines_[engine].enqueue(now_ms_, tokens, random_.exponential(kAnswerMs));
     sent_.push({run.first_event_ms, engine, queue.waiting_tokens, own_tokens, queue.own_outstanding < kSlots,
                 now_ms_, run.end_ms});
     if (measured) {
@@ -200,9 +200,9 @@
     engines[engine].slots = 16;
     engines[engine].ms_per_token = 1 / kFastTokensPerMs;
   }
-  const Placement idle = place(chain, engines, nullptr, {}, TimePoint(0));
+  const Placement idle = choose_placement(chain, engines, nullptr, {}, TimePoint(0));
   engines[idle.target].wait_ms = 300;
-  EXPECT_NE(place(chain, engines, nullptr, {}, TimePoint(0)).target, idle.target);
+  EXPECT_NE(choose_placement(chain, engines, nullptr, {}, TimePoint(0)).target, idle.target);
 }
 
 }  // namespace
--- a/tests/unit/fleet_admin_api_test.cc
+++ b/tests/unit/fleet_admin_api_test.cc
@@ -44,7 +44,7 @@
   LoadWeightsOrder order;
   order.model = "m";
   order.version = 2;
-  order.fence = 9;
+  order.fencing_token = 9;
   const json body = json::parse(weight_order_body(order, {}));
   EXPECT_EQ(body["operation"], "load_weights");
   EXPECT_EQ(body["fence"], 9);
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -87,7 +87,7 @@
   ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::SetTargetWeights{"m", 2}); }));
   const auto leader = [&]() -> std::optional<size_t> {
     for (auto& [position, member] : members_) {
-      if (member->orders() > 0) {
+      if (member->order_count() > 0) {
         return position;
       }
     }
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -205,7 +205,7 @@
     }
   }
   placement::Placement place(TimePoint now = 1s) const {
-    return placement::place(prompt_, engines_, nullptr, {}, now);
+    return placement::choose_placement(prompt_, engines_, nullptr, {}, now);
   }
 
   static constexpr double kMsPerToken = 1 / 38.0;
@@ -280,7 +280,7 @@
 TEST_F(PartPlacementTest, UnhealthyHolderIsNotUsedAsSource) {
   allow_only(0);
   memories_[2].note_held({1}, kWeights, 1s);
-  engines_[2].sound = false;
+  engines_[2].usable_as_source = false;
   EXPECT_EQ(place().source, std::nullopt);
 }
 
@@ -336,7 +336,7 @@
   memories_[1].note_held({1}, kWeights, 1s);
   store.note_held({1, 2}, kWeights, 1s);
   const placement::StoreView view{&store, {}};
-  const auto placed = placement::place(prompt_, engines_, &view, {}, 1s);
+  const auto placed = placement::choose_placement(prompt_, engines_, &view, {}, 1s);
   EXPECT_TRUE(placed.from_store);
   EXPECT_EQ(placed.source, std::nullopt);
   EXPECT_EQ(placed.missing_tokens, 500U);
--- a/tests/unit/fleet_soft_state_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -93,7 +93,7 @@
   static fleet::CacheChanges cache_changes(const std::string& holder, uint64_t claim, uint64_t part) {
     fleet::CacheChanges changes;
     changes.holder = holder;
-    changes.followed = true;
+    changes.is_subscribed = true;
     changes.claim = claim;
     changes.epoch = 9;
     changes.next_event = 17;
@@ -412,7 +412,7 @@
   changes.claim = 1;
   changes.holdings = {{11, 2, 100}, {11, 1, 0}};  // a KV store drops the old ones long after
   mirror.apply("a", changes);
-  EXPECT_EQ(mirror.whole("s:1").holdings.at(0).tokens, 100U);
+  EXPECT_EQ(mirror.full_contents("s:1").holdings.at(0).tokens, 100U);
 }
 
 TEST(CacheIndex, OneOfTwoFollowersWithEqualClaimsWins) {
@@ -439,14 +439,14 @@
 
 TEST(LeaderConfirmationTracker, ConfirmationAgeIsCountedFromTheRequest) {
   control::LeaderConfirmationTracker questions;
-  const auto question = questions.ask(10s);
+  const auto question = questions.make_request(10s);
   questions.on_answer({question.number, 40, 7});
   ASSERT_TRUE(questions.newest());
   EXPECT_EQ(questions.newest()->at, 10s - 40ms);
   EXPECT_EQ(questions.newest()->version, 7U);
   questions.on_answer({question.number, 0, 8});  // a duplicate answer is ignored
   EXPECT_EQ(questions.newest()->version, 7U);
-  questions.on_answer({questions.ask(11s).number, -1, 9});  // the answering member is not the leader
+  questions.on_answer({questions.make_request(11s).number, -1, 9});  // the answering member is not the leader
   EXPECT_EQ(questions.newest()->at, 10s - 40ms);
 }
 
--- a/tests/unit/forwarded_calls_test.cc
+++ b/tests/unit/forwarded_calls_test.cc
@@ -39,7 +39,7 @@
   calls.on_leader("a", 1s);
   calls.on_leader("", 2s);
   EXPECT_FALSE(calls.add(7, make_read(7), 4s));
-  EXPECT_FALSE(calls.holds(7));
+  EXPECT_FALSE(calls.contains(7));
 }
 
 }  // namespace
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -30,17 +30,19 @@
  protected:
   void SetUp() override { ASSERT_TRUE(configure(make_configuration(1))); }
   static std::string stream_head(const std::string& id) {
-    return "HTTP/1.1 200 OK\r\n" + own(id) + "Transfer-Encoding: chunked\r\n\r\n";
+    return "HTTP/1.1 200 OK\r\n" + engine_headers_for(id) + "Transfer-Encoding: chunked\r\n\r\n";
   }
 };
 
 TEST_F(GatewayTest, ForwardsARequestUnchangedExceptForRouterHeaders) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    return {send_step(whole_answer(200, own(request.header("X-Request-Id")) + "X-Other: 1\r\n", "body"))};
+    return {send_step(
+        whole_answer(200, engine_headers_for(request.header("X-Request-Id")) + "X-Other: 1\r\n", "body"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string response = ask("GET", "/once/a%2Fb?c=%20&d", "q1",
-                                   "X-Mine: yes\r\nX-Tenant: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\n");
+  const std::string response =
+      send_request("GET", "/once/a%2Fb?c=%20&d", "q1",
+                   "X-Mine: yes\r\nX-Tenant: evil\r\nConnection: X-Hop\r\nX-Hop: 1\r\n");
   EXPECT_EQ(status_of(response), "HTTP/1.1 200");
   EXPECT_NE(response.find("X-Other: 1"), std::string::npos);
   ASSERT_EQ(engine.requests().size(), 1U);
@@ -55,13 +57,13 @@
 }
 
 TEST_F(GatewayTest, RejectsUnknownRoutesAndKeys) {
-  EXPECT_EQ(status_of(ask("GET", "/nowhere/", "q1")), "HTTP/1.1 404");
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q2", "", "wrong")), "HTTP/1.1 401");
+  EXPECT_EQ(status_of(send_request("GET", "/nowhere/", "q1")), "HTTP/1.1 404");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q2", "", "wrong")), "HTTP/1.1 401");
 }
 
 TEST_F(GatewayTest, RejectsAtOnceWithoutABackend) {
   const auto start = std::chrono::steady_clock::now();
-  const std::string response = ask("GET", "/safe/", "q1");
+  const std::string response = send_request("GET", "/safe/", "q1");
   EXPECT_EQ(status_of(response), "HTTP/1.1 503");
   EXPECT_NE(response.find("Retry-After: "), std::string::npos);
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::milliseconds(900));
@@ -72,7 +74,7 @@
   ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "calls", engine);
   add_engine("e2", "calls", other);
-  EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
+  EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
 
@@ -88,7 +90,7 @@
   ScriptedEngine other(handler);
   add_engine("e1", "calls", engine);
   add_engine("e2", "calls", other);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   EXPECT_EQ(engine.requests().size(), 1U);
   EXPECT_EQ(other.requests().size(), 1U);
 }
@@ -100,13 +102,13 @@
     if (++sends == 1) {
       return {send_step(whole_answer(503, "X-Request-Id: " + id + "\r\nX-Not-Run: 1\r\n", ""))};
     }
-    return {send_step(whole_answer(200, own(id), "ok"))};
+    return {send_step(whole_answer(200, engine_headers_for(id), "ok"))};
   };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
   add_engine("e1", "calls", engine);
   add_engine("e2", "calls", other);
-  EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 200");
 }
 
 /// A router that sends its status to the control plane only every 20 s.
@@ -123,10 +125,10 @@
 
 TEST_F(GatewayTest, ForwardsAnEngineErrorUnchanged) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    return {send_step(whole_answer(500, own(request.header("X-Request-Id")), "broken"))};
+    return {send_step(whole_answer(500, engine_headers_for(request.header("X-Request-Id")), "broken"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string response = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
+  const std::string response = send_request("POST", "/once/", "q1", "Content-Length: 0\r\n");
   EXPECT_EQ(status_of(response), "HTTP/1.1 500");
   EXPECT_NE(response.find("X-Answer-Signature: s"), std::string::npos);
   EXPECT_NE(response.find("broken"), std::string::npos);
@@ -138,28 +140,28 @@
         send_step(whole_answer(200, "X-Request-Id: " + request.header("X-Request-Id") + "\r\n", "forged"))};
   });
   add_engine("e1", "calls", engine);
-  EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
+  EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
 TEST_F(GatewayTest, SkipsAResponseToAnotherRequest) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    return {send_step(whole_answer(200, own("another"), "not yours") +
-                      whole_answer(200, own(request.header("X-Request-Id")), "yours"))};
+    return {send_step(whole_answer(200, engine_headers_for("another"), "not yours") +
+                      whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "yours"))};
   });
   add_engine("e1", "calls", engine);
-  const std::string response = ask("POST", "/once/", "q1", "Content-Length: 0\r\n");
+  const std::string response = send_request("POST", "/once/", "q1", "Content-Length: 0\r\n");
   EXPECT_NE(response.find("yours"), std::string::npos);
   EXPECT_EQ(response.find("not yours"), std::string::npos);
 }
 
 TEST_F(GatewayTest, DoesNotReuseAConnectionWithSurplusBytes) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    const std::string response = whole_answer(200, own(request.header("X-Request-Id")), "ok");
+    const std::string response = whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "ok");
     return {send_step(response + response)};
   });
   add_engine("e1", "calls", engine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q2")), "HTTP/1.1 200");
   ASSERT_EQ(engine.requests().size(), 2U);
   EXPECT_NE(engine.requests()[0].connection, engine.requests()[1].connection);
 }
@@ -167,22 +169,24 @@
 TEST_F(GatewayTest, AcceptsAnUnframedResponseOnlyAfterAnOrderlyClose) {
   std::atomic<bool> orderly{true};
   ScriptedEngine engine([&](const SeenRequest& request) -> Script {
-    const std::string head = "HTTP/1.1 200 OK\r\n" + own(request.header("X-Request-Id")) + "\r\nunframed";
+    const std::string head =
+        "HTTP/1.1 200 OK\r\n" + engine_headers_for(request.header("X-Request-Id")) + "\r\nunframed";
     if (orderly) {
       return {send_step(head), close_step()};
     }
     return {send_step(head), wait_step(std::chrono::milliseconds(50)), reset_step()};
   });
   add_engine("e1", "calls", engine);
-  EXPECT_NE(ask("POST", "/once/", "q1", "Content-Length: 0\r\n").find("unframed"), std::string::npos);
+  EXPECT_NE(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n").find("unframed"),
+            std::string::npos);
   orderly = false;
-  EXPECT_EQ(status_of(ask("POST", "/once/", "q2", "Content-Length: 0\r\n")), "HTTP/1.1 502");
+  EXPECT_EQ(status_of(send_request("POST", "/once/", "q2", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
 TEST_F(GatewayTest, RespondsToGarbageWithBadGateway) {
   ScriptedEngine engine([](const SeenRequest&) -> Script { return {send_step("\x01\x02garbage\r\n\r\n")}; });
   add_engine("e1", "calls", engine);
-  EXPECT_EQ(status_of(ask("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
+  EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
 TEST_F(GatewayTest, EndsARequestAtItsDeadlineAndStopsTheEngine) {
@@ -219,7 +223,7 @@
   });
   add_engine("e1", "models", engine);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_NE(response.find(event(1)), std::string::npos);
   EXPECT_NE(response.find(event(2)), std::string::npos);
   EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
@@ -233,7 +237,7 @@
   ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "models", engine);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_NE(response.find(event(1)), std::string::npos);
   EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(engine.requests().size(), 1U);
@@ -255,7 +259,7 @@
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
   const std::string response =
-      ask("POST", "/resume/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/resume/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   for (int id = 1; id <= 3; ++id) {
     EXPECT_EQ(count_occurrences(response, event(id)), 1U) << response;
   }
@@ -279,7 +283,7 @@
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_NE(response.find(event(1)), std::string::npos);
   EXPECT_NE(response.find(event(2)), std::string::npos);
   EXPECT_NE(response.find("\r\n0\r\n\r\n"), std::string::npos);
@@ -293,7 +297,8 @@
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
-  EXPECT_EQ(status_of(ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n")),
+  EXPECT_EQ(status_of(send_request("POST", "/stream/", "q1",
+                                   std::string(kPromptHeaders) + "Content-Length: 0\r\n")),
             "HTTP/1.1 502");
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
@@ -301,7 +306,7 @@
 TEST_F(GatewayTest, BackupIsNotUsedAfterAWeightChange) {
   // Found in a bench run (STALE): the failed engine had new weights by the end of its run.
   const auto handler = [&](const SeenRequest& request) -> Script {
-    const std::string head = "HTTP/1.1 200 OK\r\n" + own(request.header("X-Request-Id")) +
+    const std::string head = "HTTP/1.1 200 OK\r\n" + engine_headers_for(request.header("X-Request-Id")) +
                              "X-Weights-Version: 2\r\nTransfer-Encoding: chunked\r\n\r\n";
     return {send_step(head + chunk(event(1))), wait_step(std::chrono::milliseconds(30)), reset_step()};
   };
@@ -310,7 +315,7 @@
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(engine.requests().size() + other.requests().size(), 1U);
 }
@@ -330,7 +335,7 @@
   add_engine("e1", "models", engine);
   add_engine("e2", "models", other);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_EQ(response.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(sends, 2);
 }
@@ -349,7 +354,7 @@
   });
   add_engine("e1", "models", engine);
   const std::string response =
-      ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+      send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   EXPECT_EQ(status_of(response), "HTTP/1.1 200");
   EXPECT_EQ(engine.requests().size(), 2U);
 }
@@ -382,7 +387,7 @@
     return new_channel;
   });
   ASSERT_TRUE(wait_for([&] { return first_message_received->load(); }));
-  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   ASSERT_TRUE(wait_for([&] { return !received_placements->empty(); }));
   EXPECT_EQ(received_placements->front().holder, "e1");
   EXPECT_EQ(received_placements->front().weights, 1U);
@@ -400,7 +405,7 @@
   ScriptedEngine first(stream);
   ScriptedEngine second(stream);
   add_engine("e1", "models", first);
-  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+  send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   ASSERT_EQ(first.requests().size(), 1U);
   EXPECT_EQ(first.requests()[0].header("X-Kv-Source"), "");
   add_engine("e2", "models", second);
@@ -413,8 +418,8 @@
   const auto deadline = std::chrono::steady_clock::now() + 5s;
   for (int attempts = 0; second.requests().empty() && std::chrono::steady_clock::now() < deadline;
        ++attempts) {
-    ask("POST", "/stream/", "q2-" + std::to_string(attempts),
-        std::string(kPromptHeaders) + "Content-Length: 0\r\n");
+    send_request("POST", "/stream/", "q2-" + std::to_string(attempts),
+                 std::string(kPromptHeaders) + "Content-Length: 0\r\n");
   }
   ASSERT_FALSE(second.requests().empty());
   EXPECT_EQ(second.requests()[0].header("X-Kv-Source"), first.address());
@@ -425,10 +430,10 @@
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
-  ask("POST", "/stream/", "q1", std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n",
-      "k1");
-  ask("POST", "/stream/", "q2", std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n",
-      "k2");
+  send_request("POST", "/stream/", "q1",
+               std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n", "k1");
+  send_request("POST", "/stream/", "q2",
+               std::string(kPromptHeaders) + "X-Cache-Salt: mine\r\nContent-Length: 0\r\n", "k2");
   ASSERT_EQ(engine.requests().size(), 2U);
   const std::string shared = engine.requests()[0].header("X-Cache-Salt");
   const std::string isolated = engine.requests()[1].header("X-Cache-Salt");
@@ -440,7 +445,7 @@
 TEST_F(GatewayTest, SendsNothingToARetiredBackend) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   auto done = std::make_shared<std::promise<bool>>();
   control_loop_.post([this, done] {
     control_->commit(fleet::RetireBackend{"e1", fleet::BackendState::kDraining},
@@ -451,7 +456,7 @@
   // A heartbeat that was in transit must not bring it back.
   add_engine("e1", "calls", engine);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 503");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q2")), "HTTP/1.1 503");
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
@@ -463,17 +468,17 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   ASSERT_TRUE(configure(make_configuration(3)));  // acknowledged, without effect
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 404");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 404");
 }
 
 TEST_F(GatewayTest, RejectsKeysAfterControlIsSilentForTooLong) {
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   freeze_control();
   std::this_thread::sleep_for(std::chrono::milliseconds(4700));
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 503");
-  EXPECT_EQ(status_of(ask("GET", "/open/", "q3")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "q2")), "HTTP/1.1 503");
+  EXPECT_EQ(status_of(send_request("GET", "/open/", "q3")), "HTTP/1.1 200");
 }
 
 }  // namespace
--- a/tests/unit/heartbeat_advice_test.cc
+++ b/tests/unit/heartbeat_advice_test.cc
@@ -53,7 +53,8 @@
     record.zone = "z1";
     record.address = "127.0.0.1:9";
     record.sequence = ++sequence_;
-    return test::run_on(members_[member]->loop, [&] { return members_[member]->server->heartbeat(record); });
+    return test::run_on(members_[member]->loop,
+                        [&] { return members_[member]->server->receive_heartbeat(record); });
   }
   template <typename Condition>
   static bool eventually(const Condition& condition) {
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -86,7 +86,7 @@
       }
     }
     for (const std::string& requester : member.soft_state.take_full_state_requests()) {
-      member.feeds.on_request(requester, now_);
+      member.feeds.on_full_state_request(requester, now_);
     }
     for (size_t to = 0; to < kMembers; ++to) {
       Connection& connection = member.connections[to];
--- a/tests/unit/load_admission_test.cc
+++ b/tests/unit/load_admission_test.cc
@@ -219,7 +219,7 @@
       best_ms = std::min(wait_ms, best_ms);
     }
     const double answer_ms = random_.exponential(kinds_[request.kind].answer_ms);
-    const FakeRequestTimes run = engines_[best].take(now_ms_, request.tokens, answer_ms);
+    const FakeRequestTimes run = engines_[best].enqueue(now_ms_, request.tokens, answer_ms);
     router.own[best].insert(run.end_ms);
     const Duration took = from_ms(run.first_event_ms) - request.times.arrived;
     served.answered += took <= kinds_[request.kind].deadline ? 1 : 0;
--- a/tests/unit/load_gateway_test.cc
+++ b/tests/unit/load_gateway_test.cc
@@ -51,7 +51,7 @@
   ScriptedEngine engine([](const SeenRequest& seen) { return respond_after(seen, 300); });
   add_engine("e1", "calls", engine);
   fill(engine, kRequestsThatFillTheEngine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "held")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "held")), "HTTP/1.1 200");
   EXPECT_NE(metrics().find("stoat_router_slot_wait_seconds_count{route=\"safe\"} 1"), std::string::npos);
   EXPECT_EQ(metrics().find("stoat_router_load_refusals_total"), std::string::npos);
 }
@@ -61,7 +61,7 @@
   add_engine("e1", "calls", engine);
   fill(engine, kRequestsThatOverloadTheEngine);
   const auto start = std::chrono::steady_clock::now();
-  const std::string response = ask("POST", "/once/", "late");
+  const std::string response = send_request("POST", "/once/", "late");
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::milliseconds(250));
   EXPECT_EQ(status_of(response), "HTTP/1.1 503");
   const size_t header = response.find("Retry-After: ");
--- a/tests/unit/logging_test.cc
+++ b/tests/unit/logging_test.cc
@@ -159,11 +159,11 @@
 TEST_F(RequestLogSamplerTest, LimitsTheLinesPerSecond) {
   int taken = 0;
   for (int i = 0; i < 100; ++i) {
-    taken += sampler_.take_lines(2, "failed", 1s) ? 1 : 0;
+    taken += sampler_.reserve_lines(2, "failed", 1s) ? 1 : 0;
   }
   EXPECT_EQ(taken, 10);  // the burst
   for (int i = 0; i < 100; ++i) {
-    taken += sampler_.take_lines(2, "failed", 2s) ? 1 : 0;
+    taken += sampler_.reserve_lines(2, "failed", 2s) ? 1 : 0;
   }
   EXPECT_EQ(taken, 15);  // plus one second's lines
 }
--- a/tests/unit/peer_flow_control_test.cc
+++ b/tests/unit/peer_flow_control_test.cc
@@ -25,13 +25,13 @@
 
 TEST(PeerFlowControl, RequestsMadeBeforeAFullStateArrivesAreIgnored) {
   control::PeerFlowControl feeds;
-  feeds.on_request("a", 1s);
+  feeds.on_full_state_request("a", 1s);
   EXPECT_TRUE(feeds.full_state_due("a", 0, 1s));
   feeds.on_full_state_sent("a", 2000000, 1s);
-  feeds.on_request("a", 1s + 300ms);
-  feeds.on_request("a", 3s);
+  feeds.on_full_state_request("a", 1s + 300ms);
+  feeds.on_full_state_request("a", 3s);
   EXPECT_FALSE(feeds.full_state_due("a", 0, 3s));
-  feeds.on_request("a", 4s);  // it had 3 s for 2 MB: the full state was lost
+  feeds.on_full_state_request("a", 4s);  // it had 3 s for 2 MB: the full state was lost
   EXPECT_TRUE(feeds.full_state_due("a", 0, 4s));
 }
 
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -24,7 +24,7 @@
     ASSERT_TRUE(configure(configuration));
   }
   std::string ask_for(const std::string& id, int tokens, const std::string& key = "k1") {
-    return ask("GET", "/safe/", id, "X-Token-Counts: " + std::to_string(tokens) + ",0\r\n", key);
+    return send_request("GET", "/safe/", id, "X-Token-Counts: " + std::to_string(tokens) + ",0\r\n", key);
   }
   /// Sends requests until one is answered with this status, for a few seconds at most.
   bool reaches_status(const std::string& status, int tokens) {
@@ -52,7 +52,8 @@
 
 TEST_F(QuotaGatewayTest, ErrorNamesTheMalformedTokenCountHeader) {
   for (const char* counts : {"100", "a,b", "1,-5", ",", "100,99999999999"}) {
-    const std::string answer = ask("GET", "/safe/", "q1", "X-Token-Counts: " + std::string(counts) + "\r\n");
+    const std::string answer =
+        send_request("GET", "/safe/", "q1", "X-Token-Counts: " + std::string(counts) + "\r\n");
     EXPECT_EQ(status_of(answer), "HTTP/1.1 400") << counts;
     EXPECT_NE(answer.find("X-Token-Counts"), std::string::npos) << counts;
   }
@@ -69,7 +70,7 @@
   admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   EXPECT_TRUE(gate.admit("t", 300, TimePoint(1s)).admitted);
-  gate.give_back("t", 300, TimePoint(1s));
+  gate.refund("t", 300, TimePoint(1s));
   EXPECT_TRUE(gate.take_unreported().spending.empty());
 }
 
@@ -77,8 +78,8 @@
   admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   gate.on_level({"t", -5, true});
-  gate.on_news(1s);
-  gate.on_news(3s);
+  gate.note_update(1s);
+  gate.note_update(3s);
   EXPECT_FALSE(gate.admit("t", 10, 3s + 100ms).admitted);
   EXPECT_TRUE(gate.admit("t", 10, 5s).admitted)
       << "without the control plane, a router may spend its share of the rate";
@@ -105,11 +106,11 @@
   for (auto* book : {&first, &second}) {
     book->configure({limited_tenant()}, now);
   }
-  second.on_peer("first", 1, admission::SumsScope::kAll, first.sums(), now);
-  first.on_router({{"t", 400}}, now);
+  second.record_peer_sums("first", 1, admission::SumsScope::kAll, first.sums(), now);
+  first.record_router_spending({{"t", 400}}, now);
   first.take_changed_sums();  // simulates a lost message
-  first.on_router({{"t", 200}}, now);
-  second.on_peer("first", 1, admission::SumsScope::kChanged, first.take_changed_sums(), now);
+  first.record_router_spending({{"t", 200}}, now);
+  second.record_peer_sums("first", 1, admission::SumsScope::kChanged, first.take_changed_sums(), now);
   EXPECT_EQ(second.windows(now).front().bucket, 400);
 }
 
@@ -136,11 +137,11 @@
     double spent = 0;
     for (; now_ < until; now_ += 100ms) {
       book_.update(0, now_);
-      const fleet::QuotaLevel* told = book_.told().find("t");
+      const fleet::QuotaLevel* told = book_.levels().find("t");
       if (told != nullptr && told->metered && told->level <= 0) {
         continue;
       }
-      book_.on_router({{"t", static_cast<int64_t>(per_second / 10)}}, now_);
+      book_.record_router_spending({{"t", static_cast<int64_t>(per_second / 10)}}, now_);
       spent += per_second / 10;
     }
     return spent;
@@ -168,7 +169,7 @@
 
 TEST_F(LowerQuotaTest, WindowsThatReachBackComplyWithPreviousQuota) {
   // The previous quota's whole window amount is spent right before the change.
-  book_.on_router({{"t", 1000}}, kChangeTime);
+  book_.record_router_spending({{"t", 1000}}, kChangeTime);
   book_.configure({tenant_with(900)}, kChangeTime);
   double spent = 1000;
   spent += spend_until(kChangeTime + 1s, 5000);
--- a/tests/unit/region_placement_test.cc
+++ b/tests/unit/region_placement_test.cc
@@ -69,14 +69,14 @@
       engine.place = {position / 2 + 1, position / 4 + 1};
       engine.distance = topology::distance(engines_[0].place, engine.place);
     }
-    costs_.moves = make_transfer_costs(large_model_profile(), nullptr);
+    costs_.transfers = make_transfer_costs(large_model_profile(), nullptr);
   }
   static bool in_router_region(size_t position) { return position < kEngines / 2; }
   static PromptChain prompt(uint64_t part, uint32_t shared, uint32_t own) {
     return {{{part, shared}, {1000 + part, own}}, shared + own};
   }
   Placement place(const PromptChain& chain) const {
-    return placement::place(chain, engines_, nullptr, costs_, 1s);
+    return placement::choose_placement(chain, engines_, nullptr, costs_, 1s);
   }
   void make_only_candidate(size_t target) {
     for (size_t position = 0; position < kEngines; ++position) {
@@ -147,21 +147,23 @@
   make_only_candidate(0);
   fleet::Service service;
   service.store_link_mbps = 950000;
-  costs_.moves = make_transfer_costs(large_model_profile(), &service);
+  costs_.transfers = make_transfer_costs(large_model_profile(), &service);
   KvCacheEstimate held;
   held.note_held({1}, kWeights, 1s);
   const StoreView far{&held, engines_[6].place};
   const StoreView close{&held, engines_[3].place};
   const PromptChain chain = prompt(1, 13000, 500);
-  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).worth_taking_from_store);
-  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).from_store);
-  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).worth_taking_from_store);
-  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).from_store);
+  EXPECT_FALSE(placement::choose_placement(chain, engines_, &far, costs_, 1s).worth_taking_from_store);
+  EXPECT_FALSE(placement::choose_placement(chain, engines_, &far, costs_, 1s).from_store);
+  EXPECT_TRUE(placement::choose_placement(chain, engines_, &close, costs_, 1s).worth_taking_from_store);
+  EXPECT_TRUE(placement::choose_placement(chain, engines_, &close, costs_, 1s).from_store);
 }
 
 TEST_F(RegionPlacementTest, CallGoesToTheNearestEngineWithAFreeSlot) {
   constexpr double kWorkMs = 60;
-  const auto choose = [&](uint64_t random) { return choose_nearest(engines_, kWorkMs, costs_.ways, random); };
+  const auto choose = [&](uint64_t random) {
+    return choose_nearest(engines_, kWorkMs, costs_.distance_costs, random);
+  };
   for (uint64_t random = 0; random < 2 * kEngines; ++random) {
     EXPECT_LT(choose(random), 2U) << "an engine in the router's zone";
   }
@@ -180,7 +182,7 @@
   for (size_t position = 0; position < kEngines / 2; ++position) {
     engines_[position].candidate = false;
   }
-  EXPECT_FALSE(in_router_region(choose_nearest(engines_, 60, costs_.ways, 0)));
+  EXPECT_FALSE(in_router_region(choose_nearest(engines_, 60, costs_.distance_costs, 0)));
   EXPECT_FALSE(in_router_region(place(prompt(1, 92, 291)).target));
   EXPECT_FALSE(in_router_region(place(prompt(1, 13000, 500)).target));
 }
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -73,12 +73,12 @@
     size_t served = 0;
     const auto end = Clock::now() + span;
     for (; Clock::now() < end; ++asked) {
-      const std::string answer = ask("GET", "/safe/", "r" + std::to_string(asked));
+      const std::string answer = send_request("GET", "/safe/", "r" + std::to_string(asked));
       served += status_of(answer) == "HTTP/1.1 200" ? 1 : 0;
       last_refusal_ = status_of(answer) == "HTTP/1.1 503" ? answer : last_refusal_;
       std::this_thread::sleep_for(milliseconds(20));
       if (asked % 25 == 0) {
-        beat();
+        send_engine_heartbeats();
       }
     }
     return served;
--- a/tests/unit/retry_scheduler_test.cc
+++ b/tests/unit/retry_scheduler_test.cc
@@ -19,7 +19,7 @@
   constexpr double kPerSecond = 20;
   std::vector<int> returns(12);
   for (int caller = 0; caller < 100; ++caller) {
-    const Duration after = schedule.book({"t", 6s, 300ms}, kPerSecond, random, TimePoint(0));
+    const Duration after = schedule.schedule_retry({"t", 6s, 300ms}, kPerSecond, random, TimePoint(0));
     ASSERT_GE(after, 300ms);
     ++returns[static_cast<size_t>(to_seconds(after))];
   }
@@ -35,8 +35,8 @@
   double long_deadline = 0;
   for (int caller = 0; caller < 200; ++caller) {
     const TimePoint now(20000 * caller);
-    short_deadline += to_seconds(schedule.book({"t", 1s, 0ms}, 20, random, now));
-    long_deadline += to_seconds(schedule.book({"t", 6s, 0ms}, 20, random, now));
+    short_deadline += to_seconds(schedule.schedule_retry({"t", 1s, 0ms}, 20, random, now));
+    long_deadline += to_seconds(schedule.schedule_retry({"t", 6s, 0ms}, 20, random, now));
   }
   EXPECT_LT(short_deadline * 2, long_deadline);
 }
@@ -45,17 +45,17 @@
   RetryScheduler schedule(kMaxDelay);
   Random random(3);
   for (int caller = 0; caller < 50; ++caller) {
-    schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(0));
+    schedule.schedule_retry({"t", 6s, 0ms}, 10, random, TimePoint(0));
   }
-  EXPECT_GT(schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(0)), 4s);
-  EXPECT_LT(schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(6s)), 200ms);
+  EXPECT_GT(schedule.schedule_retry({"t", 6s, 0ms}, 10, random, TimePoint(0)), 4s);
+  EXPECT_LT(schedule.schedule_retry({"t", 6s, 0ms}, 10, random, TimePoint(6s)), 200ms);
 }
 
 TEST(RetryScheduler, DelayNeverExceedsTheMaximum) {
   RetryScheduler schedule(kMaxDelay);
   Random random(4);
   for (int caller = 0; caller < 5000; ++caller) {
-    EXPECT_LE(schedule.book({"t", 6s, 20s}, 0, random, TimePoint(0)), kMaxDelay);
+    EXPECT_LE(schedule.schedule_retry({"t", 6s, 20s}, 0, random, TimePoint(0)), kMaxDelay);
   }
 }
 
@@ -104,8 +104,8 @@
       return;
     }
     const Duration left = attempt.deadline - attempt.at;
-    const Duration after =
-        schedule_.book({std::to_string(attempt.tenant), left, 0ms}, kServedPerSecond, random_, attempt.at);
+    const Duration after = schedule_.schedule_retry({std::to_string(attempt.tenant), left, 0ms},
+                                                    kServedPerSecond, random_, attempt.at);
     const bool retries_at_once = ignore_delay_ && !respects_delay(attempt.tenant);
     if (retries_at_once && attempt.repeats < 3) {
       attempts_.push({attempt.at + 5ms, attempt.tenant, attempt.repeats + 1, attempt.deadline});
--- a/tests/unit/revision_table_test.cc
+++ b/tests/unit/revision_table_test.cc
@@ -54,9 +54,9 @@
     table.set("gone" + std::to_string(i), i);
     table.erase("gone" + std::to_string(i));
   }
-  EXPECT_FALSE(table.reaches(revision));
-  EXPECT_TRUE(table.reaches(0));
-  EXPECT_TRUE(table.reaches(table.revision()));
+  EXPECT_FALSE(table.can_update_from(revision));
+  EXPECT_TRUE(table.can_update_from(0));
+  EXPECT_TRUE(table.can_update_from(table.revision()));
   Receiver receiver;
   receiver.update(table, 100);
   EXPECT_EQ(receiver.values, (std::map<std::string, int>{{"kept", 1}}));
--- a/tests/unit/rollout_fleet_test.cc
+++ b/tests/unit/rollout_fleet_test.cc
@@ -27,7 +27,7 @@
                     std::chrono::milliseconds delay = std::chrono::milliseconds(2)) {
     auto answered = std::make_shared<std::atomic<size_t>>(0);
     engines_.push_back(std::make_unique<ScriptedEngine>([=](const SeenRequest& request) -> Script {
-      const std::string headers = own(request.header("X-Request-Id"));
+      const std::string headers = engine_headers_for(request.header("X-Request-Id"));
       const bool fails = fail_one_in > 0 && ++*answered % fail_one_in == 0;
       return {wait_step(delay), send_step(whole_answer(fails ? 500 : 200, headers, version))};
     }));
@@ -41,7 +41,7 @@
     run_on(control_loop_, [this, record] {
       const auto send_heartbeat = [this, record] {
         ++record->sequence;
-        control_->heartbeat(*record);
+        control_->receive_heartbeat(*record);
       };
       send_heartbeat();
       control_loop_.every(kHeartbeat, send_heartbeat);
@@ -76,7 +76,7 @@
       callers_.emplace_back([this, caller] {
         for (int number = 0; !stop_; ++number) {
           const std::string id = "q" + std::to_string(caller) + "-" + std::to_string(number);
-          const std::string answer = ask("GET", "/safe/x", id);
+          const std::string answer = send_request("GET", "/safe/x", id);
           ++(test::status_of(answer) == "HTTP/1.1 200" ? succeeded_ : failed_);
           std::this_thread::sleep_for(kRequestInterval);
         }
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -19,7 +19,7 @@
     view_.target_ready = 45;
     view_.others_ready = 45;
     view_.longest_run = 2s;
-    view_.in_step = 900ms;
+    view_.time_in_step = 900ms;
     view_.all_sent = 3000;
     view_.target_sent = 200;
     view_.judgement.answers = 200;
@@ -27,7 +27,7 @@
   }
   std::optional<fleet::StepServiceRollout> next(RolloutPhase phase, Duration age) {
     rollout_ = make_rollout(phase);
-    rollout_.spread = phase != RolloutPhase::kWaiting;
+    rollout_.all_backends = phase != RolloutPhase::kWaiting;
     view_.age = age;
     return rollout::next_step(view_, options_);
   }
@@ -54,7 +54,7 @@
 }
 
 TEST_F(PlannerTest, CompletesOnlyWhenNoRouterUsesOtherVersions) {
-  view_.in_step = 1500ms;
+  view_.time_in_step = 1500ms;
   view_.all_applied = false;
   EXPECT_FALSE(next(RolloutPhase::kSwitching, 10s));
   view_.all_applied = true;
@@ -95,9 +95,9 @@
 
 TEST_F(PlannerTest, TestedVersionTakesOverWhenAllOthersAreGone) {
   view_.others_ready = 0;
-  view_.others_gone = 200ms;
+  view_.time_without_others = 200ms;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 5s)) << "the other backends may return at once";
-  view_.others_gone = 2s;
+  view_.time_without_others = 2s;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
   EXPECT_TRUE(next_phase_is(RolloutPhase::kTrial, 5s, RolloutPhase::kRollingBack))
--- a/tests/unit/service_rollout_test.cc
+++ b/tests/unit/service_rollout_test.cc
@@ -142,23 +142,23 @@
 
 TEST(ServiceVersions, RolledBackVersionIsNeverUsed) {
   rollout::ServiceVersions versions;
-  versions.take({make_rollout(RolloutPhase::kRolledBack)});
+  versions.store_newer({make_rollout(RolloutPhase::kRolledBack)});
   EXPECT_EQ(versions.limits("s", true).rank("v2"), rollout::VersionLimits::kNever);
   EXPECT_EQ(versions.limits("s", true).rank("v1"), 0);
 }
 
 TEST(ServiceVersions, UnorderedVersionIsOnlyAFallback) {
   rollout::ServiceVersions versions;
-  versions.take({make_rollout(RolloutPhase::kRolledBack)});
+  versions.store_newer({make_rollout(RolloutPhase::kRolledBack)});
   EXPECT_GT(versions.limits("s", false).rank("v3"), versions.limits("s", false).rank("v1"));
-  versions.take({make_rollout(RolloutPhase::kCompleted, 2)});
+  versions.store_newer({make_rollout(RolloutPhase::kCompleted, 2)});
   EXPECT_GT(versions.limits("s", false).rank("v3"), versions.limits("s", false).rank("v2"));
   EXPECT_NE(versions.limits("s", false).rank("v3"), rollout::VersionLimits::kNever);
 }
 
 TEST(ServiceVersions, OnlySampledRequestsGoToAVersionOnTrial) {
   rollout::ServiceVersions versions;
-  versions.take({make_rollout(RolloutPhase::kTrial)});
+  versions.store_newer({make_rollout(RolloutPhase::kTrial)});
   versions.confirm(10s);
   EXPECT_EQ(versions.limits("s", false).rank("v2"), rollout::VersionLimits::kNever)
       << "even if all other backends have crashed: the fleet-wide exposure bound still applies";
@@ -170,7 +170,7 @@
 
 TEST(ServiceVersions, RouterWithoutConfirmationSendsNothingToAVersionOnTrial) {
   rollout::ServiceVersions versions;
-  versions.take({make_rollout(RolloutPhase::kTrial)});
+  versions.store_newer({make_rollout(RolloutPhase::kTrial)});
   versions.confirm(10s);
   EXPECT_TRUE(versions.draw("s", "r", 0.01, 11s));
   EXPECT_FALSE(versions.draw("s", "r", 0.01, 13s)) << "the version may have been rolled back";
@@ -180,8 +180,8 @@
 
 TEST(ServiceVersions, LateOlderStepIsIgnored) {
   rollout::ServiceVersions versions;
-  EXPECT_TRUE(versions.take({make_rollout(RolloutPhase::kRollingBack, 3)}));
-  EXPECT_FALSE(versions.take({make_rollout(RolloutPhase::kTrial, 2)}));
+  EXPECT_TRUE(versions.store_newer({make_rollout(RolloutPhase::kRollingBack, 3)}));
+  EXPECT_FALSE(versions.store_newer({make_rollout(RolloutPhase::kTrial, 2)}));
   EXPECT_EQ(versions.find("s")->phase, RolloutPhase::kRollingBack);
 }
 
@@ -210,7 +210,7 @@
   std::reverse(ids.begin(), ids.end());
   EXPECT_EQ(rollout::sampled_backends(ids, rollout), sample);
   ServiceRollout spread = rollout;
-  spread.spread = true;
+  spread.all_backends = true;
   EXPECT_EQ(rollout::sampled_backends(ids, spread).size(), 45U);
 }
 
@@ -289,7 +289,7 @@
 
 TEST_F(AnswerBookTest, CountsOfFinishedRolloutsAreRemoved) {
   book_.on_member("m2", 7, {count(10)});
-  book_.keep({});
+  book_.retain_only({});
   EXPECT_TRUE(book_.totals().empty());
 }
 
--- a/tests/unit/starting_router_test.cc
+++ b/tests/unit/starting_router_test.cc
@@ -55,7 +55,7 @@
 
 TEST_F(UnconfiguredFleetTest, RequestWaitsForTheFirstConfiguration) {
   ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
-  auto response = std::async(std::launch::async, [this] { return ask("GET", "/safe/", "q1"); });
+  auto response = std::async(std::launch::async, [this] { return send_request("GET", "/safe/", "q1"); });
   EXPECT_EQ(response.wait_for(std::chrono::milliseconds(300)), std::future_status::timeout);
   add_engine("e1", "calls", engine);
   ASSERT_TRUE(configure(make_configuration(1)));
@@ -70,7 +70,7 @@
   ASSERT_TRUE(configure(make_configuration(1)));
   router_settings_.max_startup_wait = 20s;
   router_port_ = add_router();
-  auto response = std::async(std::launch::async, [this] { return ask("GET", "/safe/", "q1"); });
+  auto response = std::async(std::launch::async, [this] { return send_request("GET", "/safe/", "q1"); });
   EXPECT_EQ(response.wait_for(std::chrono::milliseconds(400)), std::future_status::timeout);
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(response.get()), "HTTP/1.1 200");
@@ -78,7 +78,7 @@
 
 TEST_F(UnconfiguredFleetTest, RequestWaitsNoLongerThanHalfOfItsTimeout) {
   const auto start = std::chrono::steady_clock::now();
-  const std::string response = ask("GET", "/safe/", "q1");  // the client's timeout is 2 s
+  const std::string response = send_request("GET", "/safe/", "q1");  // the client's timeout is 2 s
   EXPECT_EQ(status_of(response), "HTTP/1.1 503");
   EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::milliseconds(1800));
 }
--- a/tests/unit/suspended_machine_test.cc
+++ b/tests/unit/suspended_machine_test.cc
@@ -40,10 +40,10 @@
 TEST_F(SuspendedMachineTest, KeysAreRejectedAfterTheLeaseEndsDuringASuspension) {
   standins::ScriptedEngine engine([](const standins::SeenRequest& seen) { return test::succeed(seen); });
   add_engine("engine", "calls", engine);
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "before")), "HTTP/1.1 200");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "before")), "HTTP/1.1 200");
   freeze_control();
   suspended_s = kLongSuspension;
-  EXPECT_EQ(status_of(ask("GET", "/safe/", "after")), "HTTP/1.1 503");
+  EXPECT_EQ(status_of(send_request("GET", "/safe/", "after")), "HTTP/1.1 503");
   EXPECT_EQ(engine.requests().size(), 1U);
 }
 
--- a/tests/unit/traffic_test.cc
+++ b/tests/unit/traffic_test.cc
@@ -36,7 +36,7 @@
 
 TEST(Traffic, AFullStateUpdateIsCountedUnderOnePurpose) {
   fleet::PeerUpdate update;
-  update.anew = true;
+  update.is_full_state = true;
   update.heartbeats = {backend_record("e1")};
   const wire::Frame frame = wire::make_frame(update);
   EXPECT_EQ(frame.purposes[Purpose::kFullStates], frame.bytes.size());
--- a/tests/unit/weight_rollout_test.cc
+++ b/tests/unit/weight_rollout_test.cc
@@ -101,7 +101,7 @@
   rollout_.on_report("a", EngineReport{false, 1, {{"m", 2}}}, 2s);
   engines_ = {engine("a", 2)};
   EXPECT_EQ(engine_ids(plan(2s + 1ms), Kind::kRelease).size(), 1U);
-  EXPECT_EQ(rollout_.under_way(), 0U);
+  EXPECT_EQ(rollout_.in_progress(), 0U);
 }
 
 TEST_F(WeightRolloutTest, SkipsSupersededVersions) {
--- a/tools/request_mix.cc
+++ b/tools/request_mix.cc
@@ -14,7 +14,7 @@
   for (const RequestClass& request_class : classes) {
     total += request_class.share;
   }
-  double draw = random.unit() * total;
+  double draw = random.uniform_real() * total;
   for (size_t position = 0; position + 1 < classes.size(); ++position) {
     if (draw < classes[position].share) {
       return position;
