--- a/src/gateway/gateway_rollouts.cc
+++ b/src/gateway/gateway_rollouts.cc
@@ -30,7 +30,7 @@
   }
   context_.answers.retain_only(in_progress);
   other_versions_idle_.clear();
-  // Deferred: it writes to all channels, which is not allowed in a message handler.
+  // Deferred until the message handler has returned, because it writes to all channels.
   loop_.after(Duration(0), [this] { control_link_.send_status_to_all(); });
 }
 
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -42,7 +42,7 @@
   settings.link.seeds = read_seed_endpoints(reader);
   settings.fail_closed = reader.flag("fail_closed", true);
   const int64_t revocation_ms = reader.integer("revocation_ms", 5000, 100, 3600000);
-  // The rest is for the time from the edge to the engine.
+  // The rest of the revocation time is for the way of a request from the edge to the engine.
   settings.link.key_lease = Duration(900 * revocation_ms);
   settings.link.router = settings.name;
   settings.link.zone = settings.zone;
@@ -360,8 +360,8 @@
 }
 
 void GatewayServer::check_silence() {
-  std::vector<std::shared_ptr<dispatch::ActiveRequest>>
-      running;  // copied: a request that ends is removed from the map
+  // Copied, because a request that ends is removed from the map.
+  std::vector<std::shared_ptr<dispatch::RequestRun>> running;
   running.reserve(active_requests_.size());
   for (const auto& [response, active_request] : active_requests_) {
     running.push_back(active_request);
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -118,8 +118,8 @@
 };
 
 TEST_F(InfrequentStatusTest, RouterRequestsAKeyLeaseFromANewLeaderAtOnce) {
-  // Guards against waiting for the next status interval: after a power loss of all machines, routers accepted
-  // keys only up to 0.4 s after a leader was elected.
+  // Guards against waiting for the next status interval: after a power loss of all machines, routers began to
+  // accept keys as late as 0.4 s after a leader was elected.
   EXPECT_TRUE(configure(make_configuration(1)));  // waits at most 5 s until the router is ready
 }
 
