--- a/simulation/control_faults.cc
+++ b/simulation/control_faults.cc
@@ -1,16 +1,16 @@
-// ControlSimulation: load and faults drawn from the seed, and the whole run.
+// ControlSimulation: client load and faults, both generated from the seed, and the complete run.
 #include "simulation/control_simulation.h"
 
 namespace stoat::simulation {
 
 namespace {
 
-constexpr Duration kHealLimit = 15s;
-constexpr uint64_t kBackends = 300;
+constexpr Duration kRecoveryTimeout = 15s;
+constexpr uint64_t kBackendIds = 300;
 
 }  // namespace
 
-void ControlSimulation::put_configuration(uint64_t version) {
+void ControlSimulation::start_configuration_put(uint64_t version) {
   const std::string source = "document-" + std::to_string(++last_document_);
   fleet::PutConfiguration put = make_configuration(version, source);
   sent_configurations_.push_back(put);
@@ -25,15 +25,15 @@
 
 void ControlSimulation::retire_backend() {
   fleet::RetireBackend retire;
-  retire.id = "backend-" + std::to_string(random_.below(kBackends));
+  retire.id = "backend-" + std::to_string(random_.below(kBackendIds));
   retire.state = random_.chance(0.5) ? fleet::BackendState::kDraining : fleet::BackendState::kGone;
   start_call(retire, nullptr);
 }
 
 void ControlSimulation::start_read() {
-  const int leader_now = leader();
-  const size_t target = leader_now >= 0 && random_.chance(0.7) ? static_cast<size_t>(leader_now)
-                                                               : random_.below(members_.size());
+  const int current_leader = leader();
+  const size_t target = current_leader >= 0 && random_.chance(0.7) ? static_cast<size_t>(current_leader)
+                                                                   : random_.below(members_.size());
   const uint64_t token = ++last_token_;
   reads_[token] = acknowledged_;
   members_[target]->run([token](control::ControlCore& core, TimePoint now) { core.read(token, now); });
@@ -41,9 +41,10 @@
 
 void ControlSimulation::add_client_load() {
   if (random_.chance(0.05)) {
-    put_configuration(acknowledged_.configuration + 1);
+    start_configuration_put(acknowledged_.configuration + 1);
     if (random_.chance(0.5)) {
-      put_configuration(acknowledged_.configuration + 1);  // another operator races for the same version
+      // A second operator competes for the same version.
+      start_configuration_put(acknowledged_.configuration + 1);
     }
   }
   if (random_.chance(0.02)) {
@@ -60,9 +61,9 @@
   }
 }
 
-void ControlSimulation::random_wipe() {
-  // A disk may be lost while a majority of the others is sound; a second loss waits for the repair to be
-  // finished.
+void ControlSimulation::wipe_random_disk() {
+  // A disk may be lost only while a majority of the other members is intact. The next disk is not wiped until
+  // the previous member has been replaced.
   if (wiped_member_ >= 0) {
     return;
   }
@@ -88,25 +89,25 @@
       break;
     case 2:
       if (member.running()) {
-        member.freeze();
+        member.pause();
       }
       break;
     case 3:
-      cut_off(position);
+      isolate(position);
       break;
     case 4:
-      cut_between(position, random_.below(members_.size()));
+      cut_link(position, random_.below(members_.size()));
       break;
     case 5:
       network_.faults.loss = random_.unit() * 0.3;
       network_.faults.duplication = random_.unit() * 0.2;
-      network_.faults.most_delay = Duration(random_.between(1000, 120000));
+      network_.faults.max_delay = Duration(random_.between(1000, 120000));
       break;
     case 6:
       member.set_clock_rate(0.8 + 0.4 * random_.unit());
       break;
     case 7:
-      random_wipe();
+      wipe_random_disk();
       break;
     default:
       heal_network();
@@ -115,7 +116,7 @@
   }
   for (auto& other : members_) {
     if (random_.chance(0.6)) {
-      other->thaw();
+      other->resume();
     }
     if (!other->running() && random_.chance(0.7)) {
       other->start();
@@ -123,14 +124,14 @@
   }
 }
 
-void ControlSimulation::note_replaced() {
-  if (wiped_member_ >= 0 && replaced(static_cast<size_t>(wiped_member_))) {
+void ControlSimulation::update_wiped_member() {
+  if (wiped_member_ >= 0 && is_replaced(static_cast<size_t>(wiped_member_))) {
     wiped_member_ = -1;
     ++result_.members_replaced;
   }
 }
 
-void ControlSimulation::heal_everything() {
+void ControlSimulation::clear_all_faults() {
   heal_network();
   network_.faults = NetworkFaults();
   for (auto& member : members_) {
@@ -138,21 +139,21 @@
       member->start();
     }
     if (!member->start_error().empty()) {
-      violate(member->name() + " does not start: " + member->start_error());
+      record_violation(member->name() + " does not start: " + member->start_error());
     }
-    member->thaw();
+    member->resume();
   }
 }
 
-void ControlSimulation::check_works_again() {
-  if (wiped_member_ >= 0 && !wait_replaced(static_cast<size_t>(wiped_member_), kHealLimit)) {
-    violate("the wiped member could not be replaced after all faults were healed");
+void ControlSimulation::check_recovery() {
+  if (wiped_member_ >= 0 && !wait_until_replaced(static_cast<size_t>(wiped_member_), kRecoveryTimeout)) {
+    record_violation("the wiped member could not be replaced after all faults were cleared");
   }
-  const uint64_t version = acknowledged_.configuration + 1000;  // above all that is still on its way
-  if (violations_.empty() && !put(version, "final", kHealLimit)) {
-    violate("no configuration was accepted after all faults were healed");
+  const uint64_t version = acknowledged_.configuration + 1000;  // higher than any version still in flight
+  if (violations_.empty() && !put(version, "final", kRecoveryTimeout)) {
+    record_violation("no configuration was accepted after all faults were cleared");
   }
-  const auto everywhere = [&] {
+  const auto applied_everywhere = [&] {
     for (size_t position = 0; position < members_.size(); ++position) {
       if (!members_[position]->running() || state_of(position).configuration().version < version) {
         return false;
@@ -160,8 +161,8 @@
     }
     return true;
   };
-  if (violations_.empty() && !run_until(everywhere, kHealLimit)) {
-    violate("the last configuration did not reach every member after all faults were healed");
+  if (violations_.empty() && !run_until(applied_everywhere, kRecoveryTimeout)) {
+    record_violation("the last configuration did not reach every member after all faults were cleared");
   }
 }
 
@@ -177,11 +178,11 @@
       add_random_fault();
     }
     step();
-    note_replaced();
+    update_wiped_member();
   }
-  heal_everything();
+  clear_all_faults();
   if (violations_.empty()) {
-    check_works_again();
+    check_recovery();
   }
   result_.violations = violations_;
   return result_;
--- a/simulation/control_simulation.cc
+++ b/simulation/control_simulation.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Duration kCallRetry = 300ms;
-constexpr Duration kCallLimit = 4s;
-constexpr Duration kRefusedRetry = 50ms;
-constexpr Duration kJoinInterval = 150ms;
+constexpr Duration kCallRetryInterval = 300ms;
+constexpr Duration kCallTimeout = 4s;
+constexpr Duration kRejectedCallRetryDelay = 50ms;
+constexpr Duration kJoinRequestInterval = 150ms;
 
 control::ControlOptions member_options(const ControlSimulationOptions& options) {
   control::ControlOptions member;
@@ -35,7 +35,7 @@
 
 ControlSimulation::ControlSimulation(const ControlSimulationOptions& options)
     : options_(options), random_(options.seed), network_(events_, random_) {
-  consensus::MemberList founders;
+  consensus::MemberList initial_members;
   for (uint32_t position = 0; position < options.voters; ++position) {
     const std::string name = "member-" + std::to_string(position);
     const auto send_from = [this, position](const consensus::Message& message) { send(position, message); };
@@ -44,20 +44,20 @@
     };
     members_.push_back(std::make_unique<SimulatedMember>(events_, name, member_options(options),
                                                          random_.bits(), send_from, answer_from));
-    if (options.founders == 0 || position < options.founders) {
-      founders.members.push_back({random_.bits() | 1U, name, name, true});
+    if (options.initial_voters == 0 || position < options.initial_voters) {
+      initial_members.members.push_back({random_.bits() | 1U, name, name, true});
     }
   }
   for (size_t position = 0; position < members_.size(); ++position) {
-    if (position < founders.members.size()) {
-      members_[position]->found(founders.members[position].id, founders);
+    if (position < initial_members.members.size()) {
+      members_[position]->bootstrap(initial_members.members[position].id, initial_members);
     }
     members_[position]->start();
   }
-  checked_.resize(members_.size());
+  checked_progress_.resize(members_.size());
 }
 
-void ControlSimulation::violate(const std::string& what) {
+void ControlSimulation::record_violation(const std::string& what) {
   violations_.push_back("at " + std::to_string(events_.now().count()) + " us: " + what);
 }
 
@@ -67,7 +67,7 @@
       continue;
     }
     network_.send(members_[from]->name(), members_[to]->name(), [this, to, message] {
-      // A message for a former identity is dropped by the replica itself.
+      // The replica itself drops messages that are addressed to an earlier identity of the member.
       members_[to]->run([message](control::ControlCore& core, TimePoint now) { core.on_peer(message, now); });
     });
   }
@@ -98,8 +98,8 @@
   for (auto& member : members_) {
     member->tick();
   }
-  announce_joins();
-  drive_calls();
+  send_join_requests();
+  advance_calls();
   check_leaders();
   for (size_t position = 0; position < members_.size(); ++position) {
     check_committed(position);
@@ -112,7 +112,7 @@
   uint64_t best_term = 0;
   for (size_t position = 0; position < members_.size(); ++position) {
     SimulatedMember& member = *members_[position];
-    if (member.running() && !member.frozen() && member.core().replica().leads() &&
+    if (member.running() && !member.paused() && member.core().replica().leads() &&
         member.core().replica().term() > best_term) {
       best = static_cast<int>(position);
       best_term = member.core().replica().term();
@@ -121,32 +121,32 @@
   return best;
 }
 
-void ControlSimulation::cut_off(size_t position) {
+void ControlSimulation::isolate(size_t position) {
   for (size_t other = 0; other < members_.size(); ++other) {
     if (other != position) {
-      cut_between(position, other);
-      cut_between(other, position);
+      cut_link(position, other);
+      cut_link(other, position);
     }
   }
 }
 
-void ControlSimulation::cut_between(size_t from, size_t to) {
+void ControlSimulation::cut_link(size_t from, size_t to) {
   network_.cut_one_way(members_[from]->name(), members_[to]->name());
 }
 
-// Calls to the leader.
+// Client calls to the leader.
 
 void ControlSimulation::start_call(const control::Command& command, std::function<void()> on_done) {
   Call& call = calls_[++last_token_];
   call.command = command;
   call.on_done = std::move(on_done);
-  call.give_up_at = events_.now() + kCallLimit;
-  const int leader_now = leader();
-  call.target = leader_now >= 0 ? static_cast<size_t>(leader_now) : random_.below(members_.size());
+  call.deadline = events_.now() + kCallTimeout;
+  const int current_leader = leader();
+  call.target = current_leader >= 0 ? static_cast<size_t>(current_leader) : random_.below(members_.size());
 }
 
 void ControlSimulation::send_call(uint64_t token, Call& call) {
-  call.next_try = events_.now() + kCallRetry;
+  call.next_attempt = events_.now() + kCallRetryInterval;
   const control::Command command = call.command;
   const size_t target = call.target;
   network_.send("client", members_[target]->name(), [this, target, token, command] {
@@ -155,16 +155,16 @@
   });
 }
 
-void ControlSimulation::drive_calls() {
+void ControlSimulation::advance_calls() {
   for (auto call = calls_.begin(); call != calls_.end();) {
-    if (events_.now() >= call->second.give_up_at) {
+    if (events_.now() >= call->second.deadline) {
       call = calls_.erase(call);
       continue;
     }
-    if (events_.now() >= call->second.next_try) {
-      if (call->second.next_try != TimePoint(0)) {
+    if (events_.now() >= call->second.next_attempt) {
+      if (call->second.next_attempt != TimePoint(0)) {
         call->second.target =
-            (call->second.target + 1) % members_.size();  // the answer was lost, or there is none
+            (call->second.target + 1) % members_.size();  // no answer came in time: try the next member
       }
       send_call(call->first, call->second);
     }
@@ -177,7 +177,7 @@
   if (const auto read = reads_.find(answer.token); read != reads_.end()) {
     if (done) {
       ++result_.reads_confirmed;
-      check_read(read->second, state_of(from));
+      check_confirmed_read(read->second, state_of(from));
     }
     reads_.erase(read);
     return;
@@ -188,14 +188,15 @@
       return;
     }
     if (!done) {
-      found->second.next_try = std::min(found->second.next_try, events_.now() + kRefusedRetry);
+      found->second.next_attempt =
+          std::min(found->second.next_attempt, events_.now() + kRejectedCallRetryDelay);
       return;
     }
-    const Call ended = std::move(found->second);
+    const Call finished = std::move(found->second);
     calls_.erase(found);
-    note_acknowledged(ended.command);
-    if (ended.on_done) {
-      ended.on_done();
+    record_acknowledged(finished.command);
+    if (finished.on_done) {
+      finished.on_done();
     }
   });
 }
@@ -206,7 +207,7 @@
   while (!done && events_.now() < end && violations_.empty()) {
     start_call(command, [&] { done = true; });
     const uint64_t token = last_token_;
-    run_until([&] { return done; }, std::min(kCallLimit, end - events_.now()));
+    run_until([&] { return done; }, std::min(kCallTimeout, end - events_.now()));
     calls_.erase(token);
   }
   return done;
@@ -216,33 +217,33 @@
   return call(make_configuration(version, source), limit);
 }
 
-// Members whose disk was lost.
+// Replacement of members whose disk was lost.
 
-bool ControlSimulation::replaced(size_t position) {
-  const int leader_now = leader();
-  if (leader_now < 0) {
+bool ControlSimulation::is_replaced(size_t position) {
+  const int current_leader = leader();
+  if (current_leader < 0) {
     return false;
   }
   const consensus::MemberList list =
-      member(static_cast<size_t>(leader_now)).core().replica().committed_members();
-  const auto votes = [&](const consensus::Member& listed) {
+      member(static_cast<size_t>(current_leader)).core().replica().committed_members();
+  const auto is_listed_voter = [&](const consensus::Member& listed) {
     return listed.id == members_[position]->id() && listed.voter;
   };
   return list.members.size() == options_.voters &&
-         std::any_of(list.members.begin(), list.members.end(), votes);
+         std::any_of(list.members.begin(), list.members.end(), is_listed_voter);
 }
 
-bool ControlSimulation::wait_replaced(size_t position, Duration limit) {
-  return run_until([&] { return replaced(position); }, limit);
+bool ControlSimulation::wait_until_replaced(size_t position, Duration limit) {
+  return run_until([&] { return is_replaced(position); }, limit);
 }
 
-void ControlSimulation::announce_joins() {
-  if (events_.now() < next_join_requests_) {
+void ControlSimulation::send_join_requests() {
+  if (events_.now() < next_join_requests_at_) {
     return;
   }
-  next_join_requests_ = events_.now() + kJoinInterval;
+  next_join_requests_at_ = events_.now() + kJoinRequestInterval;
   for (auto& member : members_) {
-    if (!member->running() || member->frozen() || !member->core().wants_to_join()) {
+    if (!member->running() || member->paused() || !member->core().wants_to_join()) {
       continue;
     }
     const wire::JoinRequest request{{member->id(), to_hex(member->id()), member->name(), false}};
--- a/simulation/event_queue.h
+++ b/simulation/event_queue.h
@@ -1,4 +1,5 @@
-/// The simulator's clock: events in the order of their time, and of their making where times are equal.
+/// The simulator's clock and event queue. Events run in order of time; events with equal times run in the
+/// order in which they were scheduled.
 #pragma once
 
 #include <functional>
@@ -9,19 +10,21 @@
 
 namespace stoat::simulation {
 
-/// See the head of this file.
+/// A single-threaded queue of timed actions; running them advances the simulated time.
 class EventQueue {
  public:
   using Action = std::function<void()>;
 
   TimePoint now() const { return now_; }
 
-  void at(TimePoint when, Action action) {
-    events_.push({std::max(when, now_), ++last_number_, std::move(action)});
+  /// A time in the past counts as now.
+  void schedule_at(TimePoint when, Action action) {
+    events_.push({std::max(when, now_), ++last_sequence_, std::move(action)});
   }
-  void after(Duration delay, Action action) { at(now_ + delay, std::move(action)); }
+  void schedule_after(Duration delay, Action action) { schedule_at(now_ + delay, std::move(action)); }
 
-  /// Runs the next event that is due by `limit`; false when there is none, the clock then stands at `limit`.
+  /// Runs the next event that is due by `limit`. If there is none, advances the clock to `limit` and returns
+  /// false.
   bool run_next(TimePoint limit) {
     if (events_.empty() || events_.top().when > limit) {
       now_ = std::max(now_, limit);
@@ -37,15 +40,15 @@
  private:
   struct Event {
     TimePoint when;
-    uint64_t number;
+    uint64_t sequence;
     Action action;
     bool operator<(const Event& other) const {
-      return when != other.when ? when > other.when : number > other.number;
+      return when != other.when ? when > other.when : sequence > other.sequence;
     }
   };
   std::priority_queue<Event> events_;
   TimePoint now_{1s};
-  uint64_t last_number_ = 0;
+  uint64_t last_sequence_ = 0;
 };
 
 }  // namespace stoat::simulation
--- a/simulation/seed_runs.h
+++ b/simulation/seed_runs.h
@@ -1,4 +1,4 @@
-/// Runs over many seeds, for programs that look for faults.
+/// Runs a randomized test over many seeds, for command-line test programs.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace stoat {
 
-/// Runs `run_seed(seed)`, which gives whether all went well, for each seed, and prints how many failed. Gives
-/// the program's exit status.
+/// Calls `run_seed(seed)`, which returns true on success, for each seed and prints the number of failures.
+/// Returns the exit status for the program: 0 if all seeds passed, otherwise 1.
 template <typename RunSeed>
 int run_seeds(uint64_t first_seed, uint64_t seeds, const RunSeed& run_seed) {
   uint64_t failed = 0;
--- a/simulation/simulate_main.cc
+++ b/simulation/simulate_main.cc
@@ -1,4 +1,4 @@
-/// stoat-simulate: runs the simulation of the control members over many seeds, or replays one.
+/// stoat-simulate: simulates the control members over many seeds, or replays one seed.
 #include <iostream>
 
 #include "simulation/control_simulation.h"
@@ -56,7 +56,7 @@
 int main(int argc, const char** argv) {
   using namespace stoat;
   const CommandLine command_line = parse_command_line(
-      argc, argv, "stoat-simulate", "Runs the simulation of the control members over many seeds.");
+      argc, argv, "stoat-simulate", "Simulates the control members under random faults over many seeds.");
   return simulation::run(
       load_program_settings<simulation::SimulateSettings>(command_line, simulation::read_settings));
 }
--- a/simulation/simulated_disk.cc
+++ b/simulation/simulated_disk.cc
@@ -5,7 +5,7 @@
 using storage::FileError;
 using storage::FileResult;
 
-FileResult SimulatedDisk::check(const std::string& name) const {
+FileResult SimulatedDisk::check_writable(const std::string& name) const {
   if (failing_) {
     return tl::make_unexpected(FileError{name, "simulated write failure"});
   }
@@ -21,7 +21,7 @@
 }
 
 FileResult SimulatedDisk::append(const std::string& name, const std::string& bytes) {
-  if (auto result = check(name); !result) {
+  if (auto result = check_writable(name); !result) {
     return result;
   }
   unsynced_[name] += bytes;
@@ -29,11 +29,11 @@
 }
 
 FileResult SimulatedDisk::sync(const std::string& name) {
-  if (auto result = check(name); !result) {
+  if (auto result = check_writable(name); !result) {
     return result;
   }
-  if (interrupt_next_) {
-    interrupt_next_ = false;
+  if (interrupt_next_write_) {
+    interrupt_next_write_ = false;
     lose_power();
     return tl::make_unexpected(FileError{name, "power lost"});
   }
@@ -43,7 +43,7 @@
 }
 
 FileResult SimulatedDisk::truncate(const std::string& name, uint64_t length) {
-  if (auto result = check(name); !result) {
+  if (auto result = check_writable(name); !result) {
     return result;
   }
   durable_[name].resize(length);
@@ -51,13 +51,13 @@
 }
 
 FileResult SimulatedDisk::replace(const std::string& name, const std::string& bytes) {
-  if (auto result = check(name); !result) {
+  if (auto result = check_writable(name); !result) {
     return result;
   }
-  if (interrupt_next_) {
-    interrupt_next_ = false;
+  if (interrupt_next_write_) {
+    interrupt_next_write_ = false;
     if (random_.chance(0.5)) {
-      durable_[name] = bytes;  // the rename was the last thing that happened
+      durable_[name] = bytes;  // the rename took effect just before the power loss
     }
     lose_power();
     return tl::make_unexpected(FileError{name, "power lost"});
@@ -72,17 +72,17 @@
     durable_[name] += bytes.substr(0, random_.below(bytes.size() + 1));
   }
   unsynced_.clear();
-  interrupt_next_ = false;
+  interrupt_next_write_ = false;
 }
 
 void SimulatedDisk::wipe() {
   durable_.clear();
   unsynced_.clear();
   failing_ = false;
-  interrupt_next_ = false;
+  interrupt_next_write_ = false;
 }
 
-bool SimulatedDisk::damage(const std::string& name, uint64_t offset) {
+bool SimulatedDisk::flip_bit(const std::string& name, uint64_t offset) {
   std::string& content = durable_[name];
   if (offset >= content.size()) {
     return false;
--- a/simulation/simulated_disk.h
+++ b/simulation/simulated_disk.h
@@ -1,4 +1,5 @@
-/// A file system in memory that loses what was not synced, tears writes, fails, and can be wiped.
+/// An in-memory file system with injectable faults: loss of unsynced data, torn writes, write errors, bit
+/// flips and loss of the whole disk.
 #pragma once
 
 #include <map>
@@ -9,7 +10,7 @@
 
 namespace stoat::simulation {
 
-/// See the head of this file.
+/// Keeps the synced content of each file apart from the appended bytes that were not synced yet.
 class SimulatedDisk : public storage::FileSystem {
  public:
   explicit SimulatedDisk(uint64_t seed) : random_(seed) {}
@@ -20,26 +21,26 @@
   storage::FileResult truncate(const std::string& name, uint64_t length) override;
   storage::FileResult replace(const std::string& name, const std::string& bytes) override;
 
-  /// The machine loses power: of what was not synced, a random first part survives.
+  /// Simulates a power loss: of the unsynced bytes of each file, a prefix of random length survives.
   void lose_power();
-  /// The next sync or replace is interrupted by a loss of power: it fails, and lose_power() follows.
-  void interrupt_next() { interrupt_next_ = true; }
-  /// The disk is replaced by an empty one.
+  /// Makes the next sync or replace fail through a power loss (see lose_power()).
+  void interrupt_next_write() { interrupt_next_write_ = true; }
+  /// Replaces the disk by an empty one.
   void wipe();
-  /// Every write fails from now on, or again succeeds.
+  /// Makes every write fail from now on, or succeed again.
   void set_failing(bool failing) { failing_ = failing; }
-  /// Flips one bit of a durable file; false when it is empty.
-  bool damage(const std::string& name, uint64_t offset);
+  /// Flips one bit of the byte at `offset` of a synced file. Returns false if `offset` is beyond its end.
+  bool flip_bit(const std::string& name, uint64_t offset);
   uint64_t size_of(const std::string& name) const;
 
  private:
-  storage::FileResult check(const std::string& name) const;
+  storage::FileResult check_writable(const std::string& name) const;
 
   Random random_;
   std::map<std::string, std::string> durable_;
   std::map<std::string, std::string> unsynced_;
   bool failing_ = false;
-  bool interrupt_next_ = false;
+  bool interrupt_next_write_ = false;
 };
 
 }  // namespace stoat::simulation
--- a/simulation/simulated_member.cc
+++ b/simulation/simulated_member.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int64_t kLeastSyncUs = 200;
-constexpr int64_t kMostSyncUs = 4000;
-constexpr size_t kMostKeptInputs = 2000;
+constexpr int64_t kMinSyncUs = 200;
+constexpr int64_t kMaxSyncUs = 4000;
+constexpr size_t kMaxBufferedInputs = 2000;
 
 }  // namespace
 
@@ -27,21 +27,21 @@
   return TimePoint(static_cast<int64_t>(static_cast<double>(events_.now().count()) * clock_rate_));
 }
 
-void SimulatedMember::found(consensus::MemberId id, const consensus::MemberList& members) {
+void SimulatedMember::bootstrap(consensus::MemberId id, const consensus::MemberList& members) {
   identity_ = storage::DiskIdentity{id, name_};
-  consensus::Snapshot first;
-  first.index = 1;
-  first.term = 1;
-  first.members = members;
-  first.state = control::StateMachine().save();
+  consensus::Snapshot initial_snapshot;
+  initial_snapshot.index = 1;
+  initial_snapshot.term = 1;
+  initial_snapshot.members = members;
+  initial_snapshot.state = control::StateMachine().save();
   store_.save_identity(identity_);
-  store_.write_snapshot(wire::encode(first), consensus::HardState{1, 0}, {});
+  store_.write_snapshot(wire::encode(initial_snapshot), consensus::HardState{1, 0}, {});
 }
 
 void SimulatedMember::start() {
   ++starts_;
   start_error_.clear();
-  frozen_ = false;
+  paused_ = false;
   const auto identity = store_.load_identity();
   auto restored = store_.load();
   if (!identity || !restored) {
@@ -59,17 +59,17 @@
   core_ = std::make_unique<control::ControlCore>(options_, *restored, random_.bits(), local_now());
 }
 
-void SimulatedMember::crash(bool in_the_middle_of_a_write) {
-  if (in_the_middle_of_a_write && !to_write_.empty()) {
-    disk_.interrupt_next();
-    store_.write(*to_write_.front());
+void SimulatedMember::crash(bool during_write) {
+  if (during_write && !pending_writes_.empty()) {
+    disk_.interrupt_next_write();
+    store_.write(*pending_writes_.front());
   }
   disk_.lose_power();
   core_.reset();
-  to_write_.clear();
-  kept_inputs_.clear();
+  pending_writes_.clear();
+  buffered_inputs_.clear();
   writing_ = false;
-  frozen_ = false;
+  paused_ = false;
 }
 
 void SimulatedMember::wipe_disk() {
@@ -77,11 +77,11 @@
   disk_.wipe();
 }
 
-void SimulatedMember::thaw() {
-  frozen_ = false;
-  while (!kept_inputs_.empty() && running()) {
-    const auto input = std::move(kept_inputs_.front());
-    kept_inputs_.pop_front();
+void SimulatedMember::resume() {
+  paused_ = false;
+  while (!buffered_inputs_.empty() && running()) {
+    const auto input = std::move(buffered_inputs_.front());
+    buffered_inputs_.pop_front();
     run(input);
   }
 }
@@ -90,39 +90,39 @@
   if (!running()) {
     return;
   }
-  if (frozen_) {
-    if (kept_inputs_.size() < kMostKeptInputs) {
-      kept_inputs_.push_back(input);
+  if (paused_) {
+    if (buffered_inputs_.size() < kMaxBufferedInputs) {
+      buffered_inputs_.push_back(input);
     }
     return;
   }
   input(*core_, local_now());
-  drive();
+  process_output();
 }
 
 void SimulatedMember::tick() {
-  if (running() && !frozen_) {
+  if (running() && !paused_) {
     core_->tick(local_now());
-    drive();
+    process_output();
   }
 }
 
-void SimulatedMember::drive() {
+void SimulatedMember::process_output() {
   while (running()) {
     auto output = std::make_shared<consensus::Output>(core_->take_output());
     for (const consensus::Message& message : output->send_now) {
       send_(message);
     }
-    const bool nothing = !output->needs_disk() && output->send_after_persist.empty() &&
-                         output->committed.empty() && output->confirmed_reads.empty();
-    if (nothing) {
+    const bool output_is_empty = !output->needs_disk() && output->send_after_persist.empty() &&
+                                 output->committed.empty() && output->confirmed_reads.empty();
+    if (output_is_empty) {
       break;
     }
-    if (!output->needs_disk() && to_write_.empty()) {
-      complete(*output);
+    if (!output->needs_disk() && pending_writes_.empty()) {
+      on_written(*output);
       continue;
     }
-    to_write_.push_back(output);
+    pending_writes_.push_back(output);
   }
   write_next();
   if (running()) {
@@ -133,41 +133,42 @@
 }
 
 void SimulatedMember::write_next() {
-  if (writing_ || to_write_.empty() || !running()) {
+  if (writing_ || pending_writes_.empty() || !running()) {
     return;
   }
   writing_ = true;
-  const uint64_t start_number = starts_;
-  events_.after(Duration(random_.between(kLeastSyncUs, kMostSyncUs)), [this, start_number] {
-    if (start_number != starts_ || !writing_ || !running()) {
-      return;  // the process that asked for it is gone
+  const uint64_t scheduled_in_start = starts_;
+  events_.schedule_after(Duration(random_.between(kMinSyncUs, kMaxSyncUs)), [this, scheduled_in_start] {
+    if (scheduled_in_start != starts_ || !writing_ || !running()) {
+      return;  // the process that issued the write has ended
     }
     writing_ = false;
-    if (frozen_) {
-      kept_inputs_.push_back([](control::ControlCore&, TimePoint) {});  // go on after the thaw
+    if (paused_) {
+      // An empty input makes resume() continue with the write.
+      buffered_inputs_.push_back([](control::ControlCore&, TimePoint) {});
       return;
     }
-    const OutputPtr output = to_write_.front();
-    to_write_.pop_front();
+    const OutputPtr output = pending_writes_.front();
+    pending_writes_.pop_front();
     if (!store_.write(*output)) {
-      crash(false);  // a member whose disk fails stops before it acknowledges anything
+      crash(false);  // a member whose disk fails stops without acknowledging the write
       return;
     }
-    complete(*output);
-    write_snapshot_when_due();
-    drive();
+    on_written(*output);
+    write_snapshot_if_due();
+    process_output();
   });
 }
 
-void SimulatedMember::complete(const consensus::Output& output) {
+void SimulatedMember::on_written(const consensus::Output& output) {
   core_->on_persisted(output, local_now());
   for (const consensus::Message& message : output.send_after_persist) {
     send_(message);
   }
 }
 
-void SimulatedMember::write_snapshot_when_due() {
-  if (!to_write_.empty()) {
+void SimulatedMember::write_snapshot_if_due() {
+  if (!pending_writes_.empty()) {
     return;
   }
   const auto due = core_->due_snapshot();
--- a/simulation/simulated_member.h
+++ b/simulation/simulated_member.h
@@ -1,4 +1,4 @@
-/// One control member in the simulator: the real ControlCore and ReplicaStore on a simulated disk.
+/// One simulated control member: the production ControlCore and ReplicaStore on a simulated disk.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,8 @@
 
 namespace stoat::simulation {
 
-/// See the head of this file.
+/// Runs the core, delays its disk writes, and passes on its messages and answers. It can crash, be paused,
+/// and lose its disk.
 class SimulatedMember {
  public:
   using SendHandler = std::function<void(const consensus::Message&)>;
@@ -22,41 +23,49 @@
   SimulatedMember(EventQueue& events, std::string name, const control::ControlOptions& options, uint64_t seed,
                   SendHandler send, AnswerHandler answer);
 
-  /// Writes a founding state in which `members` vote; this member's identity is `id`.
-  void found(consensus::MemberId id, const consensus::MemberList& members);
-  /// Starts from what the disk holds. On a blank disk a new identity is made.
+  /// Writes the initial state of a new cluster to disk: `members` is its member list, and `id` is this
+  /// member's identity.
+  void bootstrap(consensus::MemberId id, const consensus::MemberList& members);
+  /// Starts from the state on disk; on an empty disk, creates a new identity. On failure start_error() is set
+  /// and the member does not run.
   void start();
-  /// The process is killed or the machine loses power, perhaps in the middle of a write.
-  void crash(bool in_the_middle_of_a_write);
+  /// Simulates a killed process or a power loss, optionally during a disk write. The member does not run
+  /// until start().
+  void crash(bool during_write);
+  /// Crashes the member and replaces its disk by an empty one.
   void wipe_disk();
-  /// While frozen nothing is handled; what arrives is kept, as a socket's buffer keeps it.
-  void freeze() { frozen_ = true; }
-  void thaw();
+  /// A paused member processes nothing. Inputs are buffered, as a socket buffer would, until resume().
+  void pause() { paused_ = true; }
+  void resume();
 
-  /// Runs an input on the core, and what follows from it; kept for later while frozen.
+  /// Passes an input to the core and processes the core's output; buffers the input while the member is
+  /// paused.
   void run(const std::function<void(control::ControlCore&, TimePoint)>& input);
+  /// Advances the core's timers to the current time.
   void tick();
 
   bool running() const { return core_ != nullptr; }
-  bool frozen() const { return frozen_; }
-  /// Not blank: it has a log or a snapshot.
+  bool paused() const { return paused_; }
+  /// Whether it has a log or a snapshot.
   bool has_state() const { return running() && core_->replica().last_index() > 0; }
   const std::string& name() const { return name_; }
   consensus::MemberId id() const { return identity_.id; }
   control::ControlCore& core() { return *core_; }
   SimulatedDisk& disk() { return disk_; }
-  /// The member's clock runs this much faster or slower.
+  /// Makes the member's clock run at `rate` times the speed of the simulated time.
   void set_clock_rate(double rate) { clock_rate_ = rate; }
+  /// Number of calls of start().
   uint64_t starts() const { return starts_; }
+  /// Why the latest start failed; empty if it succeeded.
   const std::string& start_error() const { return start_error_; }
 
  private:
   using OutputPtr = std::shared_ptr<consensus::Output>;
   TimePoint local_now() const;
-  void drive();
+  void process_output();
   void write_next();
-  void complete(const consensus::Output& output);
-  void write_snapshot_when_due();
+  void on_written(const consensus::Output& output);
+  void write_snapshot_if_due();
 
   EventQueue& events_;
   std::string name_;
@@ -68,10 +77,10 @@
   storage::ReplicaStore store_;
   storage::DiskIdentity identity_;
   std::unique_ptr<control::ControlCore> core_;
-  std::deque<OutputPtr> to_write_;
+  std::deque<OutputPtr> pending_writes_;
   bool writing_ = false;
-  bool frozen_ = false;
-  std::deque<std::function<void(control::ControlCore&, TimePoint)>> kept_inputs_;
+  bool paused_ = false;
+  std::deque<std::function<void(control::ControlCore&, TimePoint)>> buffered_inputs_;
   double clock_rate_ = 1;
   uint64_t starts_ = 0;
   std::string start_error_;
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -1,5 +1,5 @@
-/// A network that delays, loses, doubles and reorders messages, and whose links can be cut one way in
-/// silence.
+/// A simulated network that delays, drops, duplicates and reorders messages. Links can be cut in one
+/// direction without the sender noticing.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,22 @@
 
 namespace stoat::simulation {
 
-/// What a network does to messages that are not cut.
+/// How messages are treated on links that are not cut. `loss` and `duplication` are probabilities.
 struct NetworkFaults {
   double loss = 0;
   double duplication = 0;
-  Duration least_delay{500us};
-  Duration most_delay{3ms};
+  Duration min_delay{500us};
+  Duration max_delay{3ms};
 };
 
-/// See the head of this file. Addresses are plain names.
+/// Endpoints are identified by plain names.
 class SimulatedNetwork {
  public:
   SimulatedNetwork(EventQueue& events, Random& random) : events_(events), random_(random) {}
 
-  /// Calls `deliver` later, perhaps twice, perhaps never.
+  /// Schedules `deliver` after a random delay. It may be called twice, or not at all.
   void send(const std::string& from, const std::string& to, const std::function<void()>& deliver) {
-    if (cut_.count({from, to}) > 0 || random_.chance(faults.loss)) {
+    if (cut_links_.count({from, to}) > 0 || random_.chance(faults.loss)) {
       return;
     }
     deliver_later(from, to, deliver);
@@ -35,17 +35,19 @@
     }
   }
 
-  void cut_one_way(const std::string& from, const std::string& to) { cut_.emplace(from, to); }
-  void heal_all() { cut_.clear(); }
-  bool is_cut(const std::string& from, const std::string& to) const { return cut_.count({from, to}) > 0; }
+  void cut_one_way(const std::string& from, const std::string& to) { cut_links_.emplace(from, to); }
+  void heal_all() { cut_links_.clear(); }
+  bool is_cut(const std::string& from, const std::string& to) const {
+    return cut_links_.count({from, to}) > 0;
+  }
 
   NetworkFaults faults;
 
  private:
   void deliver_later(const std::string& from, const std::string& to, const std::function<void()>& deliver) {
-    const Duration delay(random_.between(faults.least_delay.count(), faults.most_delay.count()));
-    events_.after(delay, [this, from, to, deliver] {
-      if (cut_.count({from, to}) == 0) {
+    const Duration delay(random_.between(faults.min_delay.count(), faults.max_delay.count()));
+    events_.schedule_after(delay, [this, from, to, deliver] {
+      if (cut_links_.count({from, to}) == 0) {
         deliver();
       }
     });
@@ -53,7 +55,7 @@
 
   EventQueue& events_;
   Random& random_;
-  std::set<std::pair<std::string, std::string>> cut_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
 };
 
 }  // namespace stoat::simulation
