--- a/standins/backend_server.h
+++ b/standins/backend_server.h
@@ -1,6 +1,6 @@
-/// A stand-in of a back end that speaks what the served programs speak: an engine, which streams tokens,
-/// keeps parts of prompts and takes orders to load weights, or a plain service, which answers whole. It
-/// registers by heartbeats at the control members.
+/// A simulated backend that speaks the protocols of the router and the control plane. It is either an engine,
+/// which streams tokens, caches prompt parts and loads weights when the control plane orders it, or a plain
+/// service, which sends its response in one piece. It registers with the control members by heartbeats.
 #pragma once
 
 #include <memory>
@@ -14,48 +14,48 @@
 #include "src/dispatch/request_protocol.h"
 #include "src/http/client.h"
 #include "src/http/server.h"
-#include "standins/part_cache.h"
+#include "standins/prefix_cache.h"
 
 namespace stoat::standins {
 
-/// Settings of a stand-in.
+/// Settings of a simulated backend.
 struct BackendSettings {
   std::string name;
   std::string service;
   std::string zone;
   Endpoint listen;
-  std::vector<Endpoint> control;  ///< of the control members' administration interfaces
-  std::string model;              ///< empty: a plain service
-  uint32_t slots = 8;
-  uint64_t cache_tokens = 60000;
-  double prefill_us_per_token = 100;  ///< for parts of a prompt that it does not hold
-  Duration token_time = 20ms;         ///< between two tokens of a stream
-  Duration work_time = 10ms;          ///< of a plain service's answer
-  Duration load_time = 1s;            ///< to load weights
-  std::string software;               ///< version of its program, as it tells control; empty: not told
-  uint32_t fails_each = 0;            ///< of a plain service: each so many calls fail; 0: none
-  double rate_limit = 0;              ///< requests a second that it names in its answers; 0: it names none
-  double rest_s = 0;     ///< rest that it asks for when it turns a request away, in seconds; 0: none
-  std::string crash_on;  ///< it crashes under a request whose body contains this; empty: under none
-  /// The id of each request that begins to run is added to this file, which outlives the process; empty:
-  /// none.
+  std::vector<Endpoint> control;      ///< administration endpoints of the control members
+  std::string model;                  ///< empty: a plain service
+  uint32_t slots = 8;                 ///< requests that may run at the same time
+  uint64_t cache_tokens = 60000;      ///< capacity of the prompt cache
+  double prefill_us_per_token = 100;  ///< applies to prompt tokens that are not cached
+  Duration token_interval = 20ms;     ///< between the tokens of a stream
+  Duration response_delay = 10ms;     ///< of a plain service
+  Duration load_duration = 1s;        ///< time to load weights
+  std::string software;               ///< program version reported in heartbeats; empty: none
+  uint32_t fails_each = 0;            ///< plain service: every n-th request fails; 0: none
+  double rate_limit = 0;              ///< limit announced in responses, in requests per second; 0: none
+  double rest_s = 0;     ///< back-off period sent when a request is rejected, in seconds; 0: none
+  std::string crash_on;  ///< abort on a request whose body contains this text; empty: never
+  /// File to which the id of each request is appended when it starts to run. Unlike the process, the file
+  /// survives a crash. Empty: none.
   std::string runs_file;
 };
 
-/// Reads the settings of a stand-in.
+/// Reads the settings; problems are reported as findings of the reader.
 BackendSettings read_backend_settings(SettingsReader& reader);
 
-/// The text of a token, which depends on the prompt and the index only: callers can check every answer, and
-/// another engine goes on alike.
+/// The text of a token. It depends on the prompt and the index only, so clients can check every response, and
+/// another engine can continue a stream with the same tokens.
 std::string token_text(const std::string& prompt_parts, uint32_t index);
 
-/// The whole answer of a plain service.
-inline constexpr char kCallAnswer[] = "done\n";
+/// The response body of a plain service.
+inline constexpr char kPlainResponse[] = "done\n";
 
-/// The header in which an engine tells how many tokens of the prompt it held.
+/// Response header of an engine: how many tokens of the prompt were cached.
 inline constexpr char kCachedTokensHeader[] = "X-Cached-Tokens";
 
-/// See the head of this file.
+/// The HTTP server of a simulated backend.
 class BackendServer {
  public:
   BackendServer(EventLoop& loop, const BackendSettings& settings);
@@ -64,41 +64,42 @@
   struct Stream {
     http::ExchangePtr exchange;
     std::string prompt_parts;
-    uint32_t next = 0;
-    uint32_t end = 0;
+    uint32_t next_token = 0;
+    uint32_t end_token = 0;
   };
-  void run(const http::ExchangePtr& exchange);
-  /// True when it answered that it does not run the request.
-  bool turn_away(const http::ExchangePtr& exchange);
+  void handle_request(const http::ExchangePtr& exchange);
+  /// Rejects a request that is meant for another instance or for other weights (421), and any request while
+  /// the backend is loading, stopping or full (503). Returns true if the request was rejected.
+  bool reject_if_not_runnable(const http::ExchangePtr& exchange);
   void run_stream(const http::ExchangePtr& exchange);
-  void send_next(const std::shared_ptr<Stream>& stream);
-  void run_call(const http::ExchangePtr& exchange);
-  std::vector<http::Header> answer_headers(const http::Exchange& exchange) const;
-  void note_run(const std::string& request) const;
-  void take_order(const http::ExchangePtr& exchange);
-  void tell_report(const http::ExchangePtr& exchange) const;
-  void tell_cache_events(const http::ExchangePtr& exchange) const;
+  void send_next_token(const std::shared_ptr<Stream>& stream);
+  void run_plain(const http::ExchangePtr& exchange);
+  std::vector<http::Header> response_headers(const http::Exchange& exchange) const;
+  void record_run(const std::string& request) const;
+  void handle_order(const http::ExchangePtr& exchange);
+  void handle_report(const http::ExchangePtr& exchange) const;
+  void handle_cache_events(const http::ExchangePtr& exchange) const;
   nlohmann::json models() const;
   void send_heartbeat();
-  void stop();
+  void shut_down();
 
   EventLoop& loop_;
   BackendSettings settings_;
-  std::string id_;  ///< new at every start
-  uint64_t epoch_;  ///< of its cache
+  std::string id_;  ///< unique to each start of the process
+  uint64_t epoch_;  ///< identifies the numbering of the cache events
   control::FleetInterface interface_;
   dispatch::HeaderNames names_;
   Logger log_{"standin"};
   http::Client client_;
   http::Server server_;
-  PartCache cache_;
-  uint64_t weights_ = 1;
-  uint64_t orders_taken_ = 0;
-  uint64_t highest_fence_ = 0;
+  PrefixCache cache_;
+  uint64_t weights_version_ = 1;
+  uint64_t accepted_orders_ = 0;
+  uint64_t highest_fencing_token_ = 0;
   bool loading_ = false;
   uint32_t running_ = 0;
-  uint64_t calls_ = 0;  ///< answered by a plain service
-  TimePoint prefill_free_at_{0};
+  uint64_t plain_requests_ = 0;  ///< requests completed by a plain service
+  TimePoint prefill_idle_at_{0};
   uint64_t heartbeats_ = 0;
   bool stopping_ = false;
 };
--- a/standins/scripted_engine.cc
+++ b/standins/scripted_engine.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int kBacklog = 64;
-constexpr int kPollMs = 20;
+constexpr int kPollIntervalMs = 20;
 constexpr size_t kReadBytes = 65536;
 
 std::string lower_case(std::string text) {
@@ -39,9 +39,9 @@
 }  // namespace
 
 std::string SeenRequest::header(const std::string& name) const {
-  const std::string lines = lower_case(head);
+  const std::string lower_head = lower_case(head);
   const std::string key = "\r\n" + lower_case(name) + ":";
-  const size_t start = lines.find(key);
+  const size_t start = lower_head.find(key);
   if (start == std::string::npos) {
     return "";
   }
@@ -66,7 +66,7 @@
   if (::bind(listener_, reinterpret_cast<sockaddr*>(&address), length) != 0 ||
       ::listen(listener_, kBacklog) != 0 ||
       ::getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &length) != 0) {
-    throw std::runtime_error("the scripted engine can't listen");
+    throw std::runtime_error("the scripted engine cannot listen on a loopback port");
   }
   port_ = ntohs(address.sin_port);
   acceptor_ = std::thread([this] { accept_connections(); });
@@ -95,8 +95,8 @@
 void ScriptedEngine::accept_connections() {
   size_t connections = 0;
   while (!stopping_) {
-    pollfd waiting{listener_, POLLIN, 0};
-    if (::poll(&waiting, 1, kPollMs) <= 0) {
+    pollfd readable{listener_, POLLIN, 0};
+    if (::poll(&readable, 1, kPollIntervalMs) <= 0) {
       continue;
     }
     const int socket = ::accept(listener_, nullptr, nullptr);
@@ -111,8 +111,8 @@
   std::string input;
   bool open = true;
   while (open && !stopping_) {
-    pollfd waiting{socket, POLLIN, 0};
-    if (::poll(&waiting, 1, kPollMs) <= 0) {
+    pollfd readable{socket, POLLIN, 0};
+    if (::poll(&readable, 1, kPollIntervalMs) <= 0) {
       continue;
     }
     char bytes[kReadBytes];
@@ -157,7 +157,7 @@
         const auto until = std::chrono::steady_clock::now() + step.wait;
         while (!stopping_ && std::chrono::steady_clock::now() < until) {
           pollfd hung_up{socket, POLLRDHUP, 0};
-          if (::poll(&hung_up, 1, kPollMs) > 0) {
+          if (::poll(&hung_up, 1, kPollIntervalMs) > 0) {
             ++closed_by_peer_;
             return false;
           }
@@ -165,8 +165,8 @@
         break;
       }
       case ScriptStep::Kind::kReset: {
-        const linger at_once{1, 0};
-        ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+        const linger reset_on_close{1, 0};
+        ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
         return false;
       }
       case ScriptStep::Kind::kCrash:
--- a/standins/scripted_engine.h
+++ b/standins/scripted_engine.h
@@ -1,4 +1,5 @@
-/// A back end whose answers a test writes byte for byte: late, broken, doubled, unframed or none.
+/// A backend whose responses a test scripts byte by byte, so that they can be late, malformed, duplicated,
+/// unframed or missing.
 #pragma once
 
 #include <atomic>
@@ -12,27 +13,27 @@
 
 namespace stoat::standins {
 
-/// A request as it came in.
+/// A request as received.
 struct SeenRequest {
-  std::string head;  ///< up to the empty line
+  std::string head;  ///< request line and headers, each with its CR LF, without the empty line
   std::string body;
-  size_t connection = 0;  ///< counts the connections of the engine from 1
-  /// A header's value, or an empty string.
+  size_t connection = 0;  ///< number of the connection it came on, from 1
+  /// The value of a header, whose name is matched without regard to case; empty if it is absent.
   std::string header(const std::string& name) const;
 };
 
-/// What the engine does with a request, in order.
+/// One step of the script by which the engine handles a request.
 struct ScriptStep {
   enum class Kind {
     kSend,
     kWait,
     kClose,
-    kReset,
-    kCrash  ///< the whole engine ends: nothing listens any more, and all connections break off
+    kReset,  ///< closes the connection with a TCP reset
+    kCrash   ///< stops the whole engine: it no longer listens, and all connections are closed
   };
   Kind kind = Kind::kSend;
-  std::string bytes;
-  std::chrono::milliseconds wait{0};
+  std::string bytes;                  ///< for kSend
+  std::chrono::milliseconds wait{0};  ///< for kWait
 };
 
 using Script = std::vector<ScriptStep>;
@@ -43,10 +44,11 @@
 inline ScriptStep crash_step() { return {ScriptStep::Kind::kCrash, "", {}}; }
 inline ScriptStep reset_step() { return {ScriptStep::Kind::kReset, "", {}}; }
 
-/// A whole answer with a length. `headers` are lines that end in CR LF.
+/// A complete HTTP response with a Content-Length header. Each line in `headers` must end in CR LF.
 std::string whole_answer(int status, const std::string& headers, const std::string& body);
 
-/// Listens on a free port of the loopback address; one thread a connection.
+/// Listens on a free loopback port and serves each connection in a thread of its own. The handler returns the
+/// script for each request. Throws std::runtime_error if it cannot listen.
 class ScriptedEngine {
  public:
   using Handler = std::function<Script(const SeenRequest&)>;
@@ -57,11 +59,11 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   std::vector<SeenRequest> requests() const;
-  /// Ends as a whole: nothing listens any more, and all connections break off.
+  /// Stops listening and closes all connections.
   void crash();
-  /// True once it has crashed.
+  /// Whether crash() was called or a script reached kCrash.
   bool crashed() const { return crashed_; }
-  /// Connections that the other side has closed.
+  /// Number of connections closed by the client.
   size_t closed_by_peer() const { return closed_by_peer_; }
 
  private:
--- a/tests/process/served_programs.h
+++ b/tests/process/served_programs.h
@@ -1,4 +1,4 @@
-/// A small fleet of the served programs for one test, with what operators type.
+/// Test fixture that runs a small fleet of real processes, and helpers for running commands such as stoatctl.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 namespace stoat::tools {
 
-/// What a command printed, and its exit status.
+/// The output of a command, standard error included, and its exit status.
 struct CommandOutput {
   int status = 0;
   std::string text;
@@ -39,7 +39,7 @@
   return document.dump();
 }
 
-/// A fleet of real processes for one test.
+/// Starts a ServedFleet for each test. The work folder, with the logs, is kept if the test fails.
 class ServedPrograms : public testing::Test {
  protected:
   void SetUp() override {
@@ -60,19 +60,21 @@
     }
   }
 
+  /// Sends the demo mix at 40 requests per second, with another seed on each call.
   std::vector<RequestRecord> send(Duration duration, const std::vector<TimedAction>& actions = {}) {
     return run_load(fleet_->target(), classes_, plan_requests(classes_, 40, duration, ++seed_), actions);
   }
 
   void expect_promises(const std::vector<RequestRecord>& records) {
-    for (const std::string& violation : check_promises(classes_, records, fleet_->runs())) {
+    for (const std::string& violation : check_guarantees(classes_, records, fleet_->runs())) {
       ADD_FAILURE() << violation << "; logs in " << work_folder_;
     }
   }
 
+  /// The number of complete requests.
   static size_t complete(const std::vector<RequestRecord>& records) {
     return static_cast<size_t>(std::count_if(records.begin(), records.end(), [](const RequestRecord& record) {
-      return record.outcome == CallerOutcome::kComplete;
+      return record.outcome == RequestOutcome::kComplete;
     }));
   }
 
@@ -84,7 +86,7 @@
     return run_command(test::program_folder() + "/stoatctl --control " + members + " " + arguments);
   }
 
-  ServedFleetOptions options_;  ///< to be changed before SetUp()
+  ServedFleetOptions options_;  ///< derived fixtures change them before ServedPrograms::SetUp()
   std::vector<RequestClass> classes_ = demo_classes();
   std::string work_folder_;
   uint64_t seed_ = 0;
--- a/tests/process/served_programs_test.cc
+++ b/tests/process/served_programs_test.cc
@@ -1,23 +1,24 @@
-/// The served programs as real processes on loopback, with stand-ins of back ends: traffic, kills, operators.
+/// The programs as real processes on loopback with simulated backends: traffic, killed processes, and
+/// operator commands.
 #include "tests/process/served_programs.h"
 
 namespace stoat::tools {
 namespace {
 
-TEST_F(ServedPrograms, AreFoundedByOneMemberAlsoWhereAllShareAnAddress) {
-  const auto founders = [this] {
+TEST_F(ServedPrograms, OneMemberFoundsTheFleetEvenIfAllShareAnAddress) {
+  const auto founders_logged = [this] {
     size_t count = 0;
     for (const std::string& name : fleet_->names_of("control")) {
       count += processes_->log_of(name).find("founded the fleet") == std::string::npos ? 0 : 1;
     }
     return count;
   };
-  EXPECT_TRUE(ServedFleet::wait_until([&] { return founders() > 0; }, 5s));
+  EXPECT_TRUE(ServedFleet::wait_until([&] { return founders_logged() > 0; }, 5s));
   sleep_for(1500ms);  // logs are flushed every second
-  EXPECT_EQ(founders(), 1U);
+  EXPECT_EQ(founders_logged(), 1U);
 }
 
-TEST_F(ServedPrograms, AnswerAllRequestsAndFindSharedPartsInCaches) {
+TEST_F(ServedPrograms, AllRequestsCompleteAndSharedPromptPartsAreCached) {
   const std::vector<RequestRecord> records = send(4s);
   expect_promises(records);
   EXPECT_EQ(complete(records), records.size());
@@ -27,32 +28,32 @@
     cached += record.cached_tokens;
     tokens += record.planned.prompt_tokens;
   }
-  EXPECT_GT(cached * 2, tokens) << "fewer than half of the prompt tokens were found";
+  EXPECT_GT(cached * 2, tokens) << "at most half of the prompt tokens were cached";
 }
 
-TEST_F(ServedPrograms, KeepTheirPromisesWhenAnEngineAndAServiceAreKilled) {
+TEST_F(ServedPrograms, GuaranteesHoldWhenAnEngineAndAServiceAreKilled) {
   const std::vector<RequestRecord> records = send(
       6s, {{2s, [this] { processes_->kill("engine-1"); }}, {3s, [this] { processes_->kill("service-1"); }}});
   expect_promises(records);
-  EXPECT_GT(complete(records) * 10, records.size() * 9) << "more than one in ten was lost to two kills";
+  EXPECT_GT(complete(records) * 10, records.size() * 9) << "at least one in ten requests did not complete";
 }
 
-TEST_F(ServedPrograms, KeepTheirPromisesWhenARouterIsKilledAndStartedAgain) {
+TEST_F(ServedPrograms, GuaranteesHoldWhenARouterIsKilledAndRestarted) {
   const std::vector<RequestRecord> records = send(
       6s, {{2s, [this] { processes_->kill("router-1"); }}, {3s, [this] { processes_->start("router-1"); }}});
   expect_promises(records);
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->knows(2, 5); }, 10s));
+  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->has_registered(2, 5); }, 10s));
   const std::vector<RequestRecord> later = send(2s);
   expect_promises(later);
   EXPECT_EQ(complete(later), later.size());
 }
 
-TEST_F(ServedPrograms, GoOnWhenTheLeaderIsKilledAndForgetNothing) {
+TEST_F(ServedPrograms, KillingTheLeaderStopsNoRequestsAndLosesNoConfiguration) {
   ASSERT_TRUE(fleet_->put_configuration(configuration_of_version(2)));
   const std::string killed = fleet_->leader();
   const std::vector<RequestRecord> records = send(6s, {{1s, [&] { processes_->kill(killed); }}});
   expect_promises(records);
-  EXPECT_EQ(complete(records), records.size()) << "requests must not depend on one member";
+  EXPECT_EQ(complete(records), records.size()) << "requests must not depend on a single control member";
   ASSERT_TRUE(fleet_->put_configuration(configuration_of_version(3)));
   processes_->start(killed);
   const CommandOutput read = stoatctl("configuration get");
@@ -60,11 +61,11 @@
   EXPECT_EQ(read.text, configuration_of_version(3));
 }
 
-TEST_F(ServedPrograms, LoadNewWeightsWhileTheyServe) {
+TEST_F(ServedPrograms, NewWeightsAreLoadedUnderTraffic) {
   ASSERT_EQ(stoatctl("weights demo-model 2").status, 0);
   const std::vector<RequestRecord> records = send(3s);
   expect_promises(records);
-  const auto all_have_it = [this] {
+  const auto all_engines_updated = [this] {
     size_t count = 0;
     for (const nlohmann::json& backend :
          fleet_->status_of_leader().value("backends", nlohmann::json::array())) {
@@ -72,10 +73,10 @@
     }
     return count == 3;
   };
-  EXPECT_TRUE(ServedFleet::wait_until(all_have_it, 20s)) << fleet_->status_of_leader().dump(1);
+  EXPECT_TRUE(ServedFleet::wait_until(all_engines_updated, 20s)) << fleet_->status_of_leader().dump(1);
 }
 
-TEST_F(ServedPrograms, TellOperatorsTheirStatusAndWhatIsWrong) {
+TEST_F(ServedPrograms, StoatctlReportsStatusAndErrors) {
   const CommandOutput status = stoatctl("status");
   EXPECT_EQ(status.status, 0) << status.text;
   EXPECT_NE(status.text.find("router-2"), std::string::npos) << status.text;
@@ -91,10 +92,10 @@
   EXPECT_EQ(stoatctl("dance").status, 2);
   const std::string backend = fleet_->status_of_leader()["backends"][0]["id"];
   EXPECT_EQ(stoatctl("backend remove " + backend).status, 0);
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->knows(2, 4); }, 5s));
+  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->has_registered(2, 4); }, 5s));
 }
 
-TEST(Programs, KeepTheirPromisesUnderFaultsDrawnFromASeed) {
+TEST(Programs, GuaranteesHoldUnderSeededFaults) {
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("stoat-chaos-test-" + std::to_string(getpid()))).string();
   const CommandOutput output = run_command(
@@ -105,15 +106,15 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST(Programs, AWrongSettingsFileGetsAllFindingsWithTheirPlaces) {
+TEST(Programs, InvalidSettingsFileIsReportedWithThePositionsOfAllFindings) {
   const std::string file =
       (std::filesystem::temp_directory_path() / ("stoat-wrong-" + std::to_string(getpid()) + ".toml"))
           .string();
   std::ofstream(file) << "name = \"r\"\nzone = 7\nlisten = \"nowhere\"\ngrace_s = -1\nsurprise = true\n";
   const CommandOutput output = run_command(test::program_folder() + "/stoat-router --settings " + file);
   EXPECT_EQ(output.status, 2);
-  for (const char* place : {":2:8: zone", ":3:10: listen", ":4:11: grace_s", ":5"}) {
-    EXPECT_NE(output.text.find(file + place), std::string::npos) << place << " in\n" << output.text;
+  for (const char* position : {":2:8: zone", ":3:10: listen", ":4:11: grace_s", ":5"}) {
+    EXPECT_NE(output.text.find(file + position), std::string::npos) << position << " in\n" << output.text;
   }
   const CommandOutput control = run_command(test::program_folder() + "/stoat-control --settings " + file);
   std::filesystem::remove(file);
@@ -121,7 +122,7 @@
   EXPECT_NE(control.text.find("data_folder"), std::string::npos) << control.text;
 }
 
-TEST(Programs, EachTellsItsVersionAndItsHelp) {
+TEST(Programs, EachProgramHasVersionAndHelpOptions) {
   for (const char* program :
        {"stoat-router", "stoat-control", "stoat-platform-router", "stoat-platform-control", "stoatctl",
         "stoat-load", "stoat-simulate", "stoat-chaos", "standin-backend"}) {
--- a/tests/property/fault_plan_property_test.cc
+++ b/tests/property/fault_plan_property_test.cc
@@ -1,4 +1,4 @@
-// The plan of faults of a soak: what it may and may not do.
+// Invariants of the fault plans that stoat-chaos runs.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -9,17 +9,17 @@
 namespace stoat::tools {
 namespace {
 
-RC_GTEST_PROP(FaultPlanProperty, HitsOneMemberAtATimeAndEndsInTime, (uint64_t seed)) {
+RC_GTEST_PROP(FaultPlanProperty, FaultsOfAGroupDoNotOverlapAndEndInTime, (uint64_t seed)) {
   const FaultTargets targets{{"c1", "c2", "c3"}, {"r1", "e1", "e2"}};
   const std::vector<PlannedFault> plan = plan_faults(targets, 30s, seed);
-  std::map<std::string, TimePoint> until;
+  std::map<std::string, TimePoint> group_end;
   TimePoint last{0};
   for (const PlannedFault& fault : plan) {
     const std::string group = fault.process.front() == 'c' ? "members" : fault.process;
     RC_ASSERT(fault.at >= last);
-    RC_ASSERT(fault.at > until[group]);
+    RC_ASSERT(fault.at > group_end[group]);
     RC_ASSERT(fault.at + fault.length <= Duration(30s));
-    until[group] = fault.at + fault.length;
+    group_end[group] = fault.at + fault.length;
     last = fault.at;
   }
 }
--- a/tools/chaos_main.cc
+++ b/tools/chaos_main.cc
@@ -1,5 +1,5 @@
-/// stoat-chaos: the served programs under kills, pauses and planned stops drawn from seeds, beside traffic;
-/// what must always hold is checked from what callers and back ends see.
+/// stoat-chaos: runs the deployed programs under traffic while processes are killed, paused and stopped
+/// according to a plan generated from a seed. Invariants are checked from what clients and backends observe.
 #include <unistd.h>
 
 #include <algorithm>
@@ -16,25 +16,26 @@
 namespace stoat::tools {
 namespace {
 
-constexpr Duration kHealLimit = 20s;
-constexpr Duration kCalm = 3s;
-/// One plain back end of three names this limit, in requests a second.
-constexpr uint32_t kServices = 3;
+constexpr Duration kRecoveryTimeout = 20s;
+constexpr Duration kRecoveryLoadDuration = 3s;
+/// One of three plain service backends announces a limit of kRateLimit requests per second.
+constexpr uint32_t kPlainServices = 3;
 constexpr char kLimitedBackend[] = "service-1";
 constexpr double kRateLimit = 1;
-/// It gets at most so many times what the limit allows, and a few besides.
+/// The requests sent to it may exceed the limit by this factor, and by kLimitSlack requests in addition.
 constexpr double kLimitTolerance = 1.5;
 constexpr double kLimitSlack = 5;
-/// Requests of all routers until they know the limit of a back end that has just started: 0.2 s of them.
-constexpr double kBeforeLimitIsKnown = 10;
+/// Requests that all routers together may send to a restarted backend before they learn its limit: those of
+/// 0.2 s.
+constexpr double kRequestsBeforeLimitIsKnown = 10;
 
 struct ChaosSettings {
   uint64_t first_seed = 1;
   uint64_t seeds = 1;
   Duration duration{20s};
   double requests_per_second = 40;
-  std::string programs;       ///< folder
-  std::string configuration;  ///< file
+  std::string programs;       ///< folder of the programs
+  std::string configuration;  ///< path of the configuration file
   std::string work_folder;
 };
 
@@ -50,92 +51,101 @@
   return settings;
 }
 
-FaultTargets targets_of(const ServedFleet& fleet) {
+FaultTargets fault_targets(const ServedFleet& fleet) {
   FaultTargets targets;
-  targets.members = fleet.names_of("control");
+  targets.control_members = fleet.names_of("control");
   for (const char* kind : {"router", "engine", "service"}) {
     for (const std::string& name : fleet.names_of(kind)) {
-      targets.others.push_back(name);
+      targets.other_processes.push_back(name);
     }
   }
   return targets;
 }
 
-void begin(ProcessFleet& processes, const PlannedFault& fault) {
+void start_fault(ProcessFleet& processes, const PlannedFault& fault) {
   switch (fault.kind) {
     case FaultKind::kKill:
       processes.kill(fault.process);
       break;
     case FaultKind::kPause:
-      processes.freeze(fault.process);
+      processes.pause(fault.process);
       break;
     case FaultKind::kStop:
-      processes.ask_to_stop(fault.process);
+      processes.request_stop(fault.process);
       break;
   }
 }
 
-void end(ProcessFleet& processes, const PlannedFault& fault) {
+void end_fault(ProcessFleet& processes, const PlannedFault& fault) {
   if (fault.kind == FaultKind::kPause) {
-    processes.thaw(fault.process);
+    processes.resume(fault.process);
     return;
   }
-  processes.kill(fault.process);  // a planned stop may take longer
+  processes.kill(fault.process);  // a planned stop may still be in progress
   processes.start(fault.process);
 }
 
-std::vector<TimedAction> actions_of(ProcessFleet& processes, const std::vector<PlannedFault>& faults) {
+std::vector<TimedAction> fault_actions(ProcessFleet& processes, const std::vector<PlannedFault>& faults) {
   std::vector<TimedAction> actions;
   for (const PlannedFault& fault : faults) {
-    actions.push_back({fault.at, [&processes, fault] { begin(processes, fault); }});
-    actions.push_back({fault.at + fault.length, [&processes, fault] { end(processes, fault); }});
+    actions.push_back({fault.at, [&processes, fault] { start_fault(processes, fault); }});
+    actions.push_back({fault.at + fault.length, [&processes, fault] { end_fault(processes, fault); }});
   }
   return actions;
 }
 
-std::string document_of_version(const std::string& file, uint64_t version) {
+std::string configuration_document(const std::string& file, uint64_t version) {
   std::ifstream input(file);
   nlohmann::json document = nlohmann::json::parse(input);
   document["version"] = version;
   return document.dump();
 }
 
-size_t count(const std::vector<RequestRecord>& records, CallerOutcome outcome) {
+size_t count_outcome(const std::vector<RequestRecord>& records, RequestOutcome outcome) {
   return static_cast<size_t>(
       std::count_if(records.begin(), records.end(),
                     [outcome](const RequestRecord& record) { return record.outcome == outcome; }));
 }
 
-/// Once all faults have ended, everything must work again.
-void check_calm(ServedFleet& fleet, const ChaosSettings& settings, uint64_t seed,
-                const std::vector<RequestClass>& classes, std::vector<std::string>& violations) {
-  if (!fleet.put_configuration(document_of_version(settings.configuration, 2), kHealLimit)) {
-    violations.push_back("no configuration was taken after all faults");
+/// Checks that, once all faults have ended, a configuration is accepted, all processes are registered and
+/// every request completes.
+void check_recovery(ServedFleet& fleet, const ChaosSettings& settings, uint64_t seed,
+                    const std::vector<RequestClass>& classes, std::vector<std::string>& violations) {
+  if (!fleet.put_configuration(configuration_document(settings.configuration, 2), kRecoveryTimeout)) {
+    violations.push_back("no configuration was accepted after all faults had ended");
     return;
   }
   const size_t backends = fleet.names_of("engine").size() + fleet.names_of("service").size();
-  if (!ServedFleet::wait_until([&] { return fleet.knows(fleet.names_of("router").size(), backends); },
-                               kHealLimit)) {
-    violations.push_back("the fleet is not complete after all faults: " + fleet.status_of_leader().dump());
+  if (!ServedFleet::wait_until(
+          [&] { return fleet.has_registered(fleet.names_of("router").size(), backends); },
+          kRecoveryTimeout)) {
+    violations.push_back("not all processes were registered after all faults had ended: " +
+                         fleet.status_of_leader().dump());
     return;
   }
-  const auto calm = run_load(fleet.target(), classes,
-                             plan_requests(classes, settings.requests_per_second, kCalm, seed + 1));
-  if (count(calm, CallerOutcome::kComplete) < calm.size()) {
-    violations.push_back(std::to_string(calm.size() - count(calm, CallerOutcome::kComplete)) + " of " +
-                         std::to_string(calm.size()) + " requests failed after all faults");
+  const auto recovery_records =
+      run_load(fleet.target(), classes,
+               plan_requests(classes, settings.requests_per_second, kRecoveryLoadDuration, seed + 1));
+  if (count_outcome(recovery_records, RequestOutcome::kComplete) < recovery_records.size()) {
+    violations.push_back(
+        std::to_string(recovery_records.size() - count_outcome(recovery_records, RequestOutcome::kComplete)) +
+        " of " + std::to_string(recovery_records.size()) +
+        " requests did not complete after all faults had ended");
   }
-  const auto more = check_promises(classes, calm, fleet.runs());
-  violations.insert(violations.end(), more.begin(), more.end());
+  const auto more_violations = check_guarantees(classes, recovery_records, fleet.runs());
+  violations.insert(violations.end(), more_violations.begin(), more_violations.end());
 }
 
-/// The back end with a limit gets no more than that allows, however routers and control members come and go.
+/// Checks that the backend with a limit received no more requests than allowed, in spite of restarts of
+/// routers and control members.
 void check_limit(const ServedFleet& fleet, const std::vector<PlannedFault>& faults, Duration span,
                  std::vector<std::string>& violations) {
-  const auto hits_it = [](const PlannedFault& fault) { return fault.process == kLimitedBackend; };
-  const auto starts = 1 + std::count_if(faults.begin(), faults.end(), hits_it);
+  const auto hits_limited_backend = [](const PlannedFault& fault) {
+    return fault.process == kLimitedBackend;
+  };
+  const auto backend_starts = 1 + std::count_if(faults.begin(), faults.end(), hits_limited_backend);
   const double allowed = kLimitTolerance * kRateLimit * to_seconds(span) + kLimitSlack +
-                         kBeforeLimitIsKnown * static_cast<double>(starts);
+                         kRequestsBeforeLimitIsKnown * static_cast<double>(backend_starts);
   const size_t runs = fleet.runs_at(kLimitedBackend).size();
   if (static_cast<double>(runs) > allowed) {
     violations.push_back(std::string(kLimitedBackend) + " ran " + std::to_string(runs) + " requests in " +
@@ -149,24 +159,24 @@
   ProcessFleet processes(settings.programs, folder);
   ServedFleetOptions options;
   options.configuration_file = settings.configuration;
-  options.services = kServices;
+  options.services = kPlainServices;
   options.limited_services = 1;
   options.rate_limit = kRateLimit;
   ServedFleet fleet(processes, options);
   fleet.start();
-  const TimePoint begin_at = monotonic_now();
+  const TimePoint started_at = monotonic_now();
   const std::vector<RequestClass> classes = demo_classes();
-  const std::vector<PlannedFault> faults = plan_faults(targets_of(fleet), settings.duration, seed);
+  const std::vector<PlannedFault> faults = plan_faults(fault_targets(fleet), settings.duration, seed);
   const auto records = run_load(fleet.target(), classes,
                                 plan_requests(classes, settings.requests_per_second, settings.duration, seed),
-                                actions_of(processes, faults));
-  std::vector<std::string> violations = check_promises(classes, records, fleet.runs());
-  check_calm(fleet, settings, seed, classes, violations);
-  check_limit(fleet, faults, monotonic_now() - begin_at, violations);
+                                fault_actions(processes, faults));
+  std::vector<std::string> violations = check_guarantees(classes, records, fleet.runs());
+  check_recovery(fleet, settings, seed, classes, violations);
+  check_limit(fleet, faults, monotonic_now() - started_at, violations);
   std::cout << "seed " << seed << ": faults " << faults.size() << ", requests " << records.size()
-            << ", complete " << count(records, CallerOutcome::kComplete) << ", refused "
-            << count(records, CallerOutcome::kRefused) << ", failed "
-            << count(records, CallerOutcome::kFailed) << ", at the limited back end "
+            << ", complete " << count_outcome(records, RequestOutcome::kComplete) << ", refused "
+            << count_outcome(records, RequestOutcome::kRefused) << ", failed "
+            << count_outcome(records, RequestOutcome::kFailed) << ", at the limited backend "
             << fleet.runs_at(kLimitedBackend).size() << "\n";
   for (const std::string& violation : violations) {
     std::cout << "seed " << seed << ": " << violation << "\n";
@@ -179,7 +189,7 @@
     std::cout << "  " << to_milliseconds(fault.at) << " ms " << to_text(fault.kind) << " " << fault.process
               << " for " << to_milliseconds(fault.length) << " ms\n";
   }
-  std::cout << "  logs in " << folder << "; again: stoat-chaos --set first_seed=" << seed
+  std::cout << "  logs in " << folder << "; replay: stoat-chaos --set first_seed=" << seed
             << " --set duration_s=" << to_seconds(settings.duration) << "\n";
   return false;
 }
@@ -196,6 +206,6 @@
   using namespace stoat;
   const CommandLine command_line =
       parse_command_line(argc, argv, "stoat-chaos",
-                         "Runs the served programs under faults drawn from seeds and checks what must hold.");
+                         "Runs the programs under faults generated from seeds and checks their guarantees.");
   return tools::run(load_program_settings<tools::ChaosSettings>(command_line, tools::read_settings));
 }
--- a/tools/fault_plan.cc
+++ b/tools/fault_plan.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr double kMeanSecondsBetween = 1.2;
-constexpr int64_t kLeastMs = 200;
-constexpr int64_t kMostMs = 3000;
-constexpr double kMemberShare = 0.3;
+constexpr double kMeanFaultIntervalS = 1.2;
+constexpr int64_t kMinFaultMs = 200;
+constexpr int64_t kMaxFaultMs = 3000;
+constexpr double kControlMemberShare = 0.3;
 
 }  // namespace
 
@@ -30,22 +30,23 @@
   constexpr int64_t kUsPerMs = 1000;
   Random random(seed);
   std::vector<PlannedFault> plan;
-  std::map<std::string, TimePoint> busy_until;  ///< the members of the log share one entry
-  double at_s = random.exponential(kMeanSecondsBetween);
-  for (; from_seconds(at_s) < duration; at_s += random.exponential(kMeanSecondsBetween)) {
-    const bool member = random.chance(kMemberShare);
-    const std::vector<std::string>& names = member ? targets.members : targets.others;
+  std::map<std::string, TimePoint> blocked_until;  ///< by process; all control members share the entry ""
+  double at_s = random.exponential(kMeanFaultIntervalS);
+  for (; from_seconds(at_s) < duration; at_s += random.exponential(kMeanFaultIntervalS)) {
+    const bool is_control_member = random.chance(kControlMemberShare);
+    const std::vector<std::string>& names =
+        is_control_member ? targets.control_members : targets.other_processes;
     PlannedFault fault;
     fault.at = from_seconds(at_s);
     fault.kind = static_cast<FaultKind>(random.below(3));
     fault.process = names[random.below(names.size())];
-    fault.length = Duration(kUsPerMs * random.between(kLeastMs, kMostMs));
-    TimePoint& busy = busy_until[member ? "" : fault.process];
-    if (fault.at < busy || fault.at + fault.length > duration) {
+    fault.length = Duration(kUsPerMs * random.between(kMinFaultMs, kMaxFaultMs));
+    TimePoint& blocked = blocked_until[is_control_member ? "" : fault.process];
+    if (fault.at < blocked || fault.at + fault.length > duration) {
       continue;
     }
-    // A member that has come back needs a moment to catch up.
-    busy = fault.at + fault.length + Duration(kUsPerMs * kMostMs);
+    // Leaves a restarted process time to catch up before its group is hit again.
+    blocked = fault.at + fault.length + Duration(kUsPerMs * kMaxFaultMs);
     plan.push_back(std::move(fault));
   }
   return plan;
--- a/tools/fault_plan.h
+++ b/tools/fault_plan.h
@@ -1,4 +1,4 @@
-/// Faults of processes, drawn from a seed: kills, pauses and planned stops, each ended after a while.
+/// Plans process faults from a seed: kills, pauses and graceful stops, each of limited duration.
 #pragma once
 
 #include <string>
@@ -9,31 +9,31 @@
 
 namespace stoat::tools {
 
-/// What is done to a process.
+/// A kind of process fault.
 enum class FaultKind : uint8_t {
-  kKill,   ///< SIGKILL, and started again
-  kPause,  ///< SIGSTOP, and SIGCONT
-  kStop,   ///< SIGTERM, and started again
+  kKill,   ///< SIGKILL, then restart
+  kPause,  ///< SIGSTOP, then SIGCONT
+  kStop,   ///< SIGTERM, then restart
 };
 
 const char* to_text(FaultKind kind);
 
-/// One fault.
+/// One planned fault.
 struct PlannedFault {
-  TimePoint at{0};  ///< since the start
+  TimePoint at{0};  ///< since the start of the run
   FaultKind kind = FaultKind::kKill;
   std::string process;
-  Duration length{0};  ///< until it is ended
+  Duration length{0};  ///< from the fault until the process is restarted or continued
 };
 
-/// The processes that faults may hit.
+/// The names of the processes that may be hit by faults.
 struct FaultTargets {
-  std::vector<std::string> members;  ///< of the log: never more than one of them is hit at a time
-  std::vector<std::string> others;   ///< routers and back ends: each is hit once at a time
+  std::vector<std::string> control_members;  ///< at most one of them is down at a time
+  std::vector<std::string> other_processes;  ///< routers and backends; faults of one process never overlap
 };
 
-/// The faults of a run, in the order of time; all have ended by `duration`. The same arguments give the same
-/// plan.
+/// Returns the faults of a run in order of time. All end by `duration`. The same arguments always give the
+/// same plan.
 std::vector<PlannedFault> plan_faults(const FaultTargets& targets, Duration duration, uint64_t seed);
 
 }  // namespace stoat::tools
--- a/tools/load_generator.cc
+++ b/tools/load_generator.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Duration kSendTick = 1ms;
-/// Callers wait a little longer than the deadline that they name.
-constexpr Duration kPatience = 500ms;
+constexpr Duration kSendInterval = 1ms;
+/// The client waits this much longer than the deadline that it sends with the request.
+constexpr Duration kClientTimeoutMargin = 500ms;
 constexpr int kOk = 200;
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
@@ -45,14 +45,14 @@
 
 void LoadGenerator::start() {
   started_ = loop_.now();
-  loop_.every(kSendTick, [this] { send_due(); });
+  loop_.every(kSendInterval, [this] { send_due(); });
 }
 
 void LoadGenerator::send_due() {
-  while (next_ < records_.size() && started_ + records_[next_].planned.at <= loop_.now()) {
-    send(next_++);
+  while (next_position_ < records_.size() && started_ + records_[next_position_].planned.at <= loop_.now()) {
+    send(next_position_++);
   }
-  if (ended_ == records_.size() && on_finished) {
+  if (ended_count_ == records_.size() && on_finished) {
     std::exchange(on_finished, nullptr)();
   }
 }
@@ -64,7 +64,7 @@
   request.endpoint = target_.routers[position % target_.routers.size()];
   request.method = "POST";
   request.path = "/" + request_class.route + "/" + planned.id;
-  request.timeout = Duration(1000 * request_class.deadline_ms) + kPatience;
+  request.timeout = Duration(1000 * request_class.deadline_ms) + kClientTimeoutMargin;
   request.headers = {{"Host", target_.host},
                      {names_.request_id, planned.id},
                      {names_.deadline_ms, std::to_string(request_class.deadline_ms)},
@@ -81,28 +81,28 @@
 
 void LoadGenerator::send(size_t position) {
   const bool streaming = classes_[records_[position].planned.request_class].streaming;
-  http::PieceHandler pieces;
+  http::PieceHandler on_stream_piece;
   if (streaming) {
-    pieces = [this, position](const std::string& piece) { on_piece(position, piece); };
+    on_stream_piece = [this, position](const std::string& piece) { on_piece(position, piece); };
   }
-  client_.start(make_request(position), pieces,
+  client_.start(make_request(position), on_stream_piece,
                 [this, position](const http::ClientResult& result) { on_done(position, result); });
 }
 
 void LoadGenerator::on_piece(size_t position, const std::string& piece) {
   RequestRecord& record = records_[position];
   if (bodies_[position].empty()) {
-    record.first_event = loop_.now() - (started_ + record.planned.at);
+    record.time_to_first_event = loop_.now() - (started_ + record.planned.at);
   }
   bodies_[position] += piece;
 }
 
-bool LoadGenerator::right_answer(size_t position, const http::ClientResult& result) const {
+bool LoadGenerator::is_correct_response(size_t position, const http::ClientResult& result) const {
   const PlannedRequest& planned = records_[position].planned;
   const RequestClass& request_class = classes_[planned.request_class];
   return request_class.streaming
              ? bodies_[position] == expected_stream(planned.prompt_parts, request_class.output_tokens)
-             : result.body == standins::kCallAnswer;
+             : result.body == standins::kPlainResponse;
 }
 
 void LoadGenerator::on_done(size_t position, const http::ClientResult& result) {
@@ -110,19 +110,19 @@
   const RequestClass& request_class = classes_[record.planned.request_class];
   record.ended = true;
   record.status = result.status;
-  ++ended_;
+  ++ended_count_;
   if (result.status == kTooManyRequests || result.status == kUnavailable) {
-    record.outcome = CallerOutcome::kRefused;
+    record.outcome = RequestOutcome::kRefused;
     return;
   }
   if (result.status != kOk) {
     return;
   }
-  record.outcome = right_answer(position, result) ? CallerOutcome::kComplete : CallerOutcome::kWrong;
+  record.outcome = is_correct_response(position, result) ? RequestOutcome::kComplete : RequestOutcome::kWrong;
   if (!request_class.streaming) {
-    record.first_event = loop_.now() - (started_ + record.planned.at);
+    record.time_to_first_event = loop_.now() - (started_ + record.planned.at);
   }
-  record.late = record.first_event > Duration(1000 * request_class.target_ms);
+  record.late = record.time_to_first_event > Duration(1000 * request_class.target_ms);
   const std::string cached = header_of(result, standins::kCachedTokensHeader);
   record.cached_tokens = cached.empty() ? 0 : static_cast<uint32_t>(std::stoul(cached));
 }
--- a/tools/load_generator.h
+++ b/tools/load_generator.h
@@ -1,4 +1,5 @@
-/// Sends a plan of requests to routers in an open loop and checks every answer.
+/// An open-loop load generator: sends planned requests to routers at their planned times and checks every
+/// response.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,7 +12,7 @@
 
 namespace stoat::tools {
 
-/// Where and for whom requests are sent.
+/// The routers to send to, and the host, credential and model that requests carry.
 struct LoadTarget {
   std::vector<Endpoint> routers;
   std::string host = "demo";
@@ -19,32 +20,32 @@
   std::string model = "demo-model";
 };
 
-/// How a request ended, as its caller sees it.
-enum class CallerOutcome : uint8_t {
-  kComplete,
-  kRefused,  ///< 429 or 503: a promise that it has not run and will not
-  kFailed,   ///< any other answer, or none: it may have run
-  kWrong,    ///< an answer that is not the right one
+/// How a request ended, as seen by the client.
+enum class RequestOutcome : uint8_t {
+  kComplete,  ///< 200 with the expected body
+  kRefused,   ///< 429 or 503, which guarantee that the request has not run and will not run
+  kFailed,    ///< any other status, or no response: the request may have run
+  kWrong,     ///< 200 with an incorrect body
 };
 
-/// What became of one request.
+/// The outcome of one request.
 struct RequestRecord {
   PlannedRequest planned;
-  CallerOutcome outcome = CallerOutcome::kFailed;
+  RequestOutcome outcome = RequestOutcome::kFailed;
   int status = 0;
-  Duration first_event{0};  ///< since its planned time; of whole answers: the answer
-  uint32_t cached_tokens = 0;
-  bool late = false;
+  Duration time_to_first_event{0};  ///< from the planned time; plain service: to the response
+  uint32_t cached_tokens = 0;       ///< prompt tokens that the engine had cached
+  bool late = false;                ///< complete, but later than the class's target_ms
   bool ended = false;
 };
 
-/// See the head of this file.
+/// Sends one plan on an event loop. Sending never waits for earlier responses.
 class LoadGenerator {
  public:
   LoadGenerator(EventLoop& loop, LoadTarget target, std::vector<RequestClass> classes,
                 std::vector<PlannedRequest> plan);
 
-  /// Called once all requests have ended.
+  /// Called when all requests have ended.
   std::function<void()> on_finished;
   void start();
   const std::vector<RequestRecord>& records() const { return records_; }
@@ -55,7 +56,7 @@
   http::ClientRequest make_request(size_t position) const;
   void on_piece(size_t position, const std::string& piece);
   void on_done(size_t position, const http::ClientResult& result);
-  bool right_answer(size_t position, const http::ClientResult& result) const;
+  bool is_correct_response(size_t position, const http::ClientResult& result) const;
 
   EventLoop& loop_;
   http::Client client_;
@@ -63,28 +64,29 @@
   dispatch::HeaderNames names_;
   std::vector<RequestClass> classes_;
   std::vector<RequestRecord> records_;
-  std::vector<std::string> bodies_;  ///< of streams
+  std::vector<std::string> bodies_;  ///< received so far, of streams
   TimePoint started_{0};
-  size_t next_ = 0;
-  size_t ended_ = 0;
+  size_t next_position_ = 0;
+  size_t ended_count_ = 0;
 };
 
-/// Something that is done while a load runs.
+/// An action to run during a load, `at` after its start.
 struct TimedAction {
   Duration at{0};
   std::function<void()> action;
 };
 
-/// Sends a plan, does the actions on the way, and returns when all requests have ended.
+/// Sends the planned requests and runs the actions at their times. Returns when all requests have ended.
 std::vector<RequestRecord> run_load(const LoadTarget& target, const std::vector<RequestClass>& classes,
                                     std::vector<PlannedRequest> plan,
                                     const std::vector<TimedAction>& actions = {});
 
-/// What a run showed. `repeats`: requests that routers sent to a second back end; negative: not asked.
+/// Summarizes a run. `repeats`: how often the routers repeated a request at another backend; negative:
+/// unknown.
 nlohmann::json make_report(const std::vector<RequestClass>& classes,
                            const std::vector<RequestRecord>& records, int64_t repeats);
 
-/// The report as a table for people.
+/// Formats the report as a text table.
 std::string report_table(const nlohmann::json& report);
 
 }  // namespace stoat::tools
--- a/tools/load_main.cc
+++ b/tools/load_main.cc
@@ -1,4 +1,4 @@
-/// stoat-load: an open-loop load generator that checks every answer.
+/// stoat-load: an open-loop load generator that checks every response.
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 
 struct LoadSettings {
   LoadTarget target;
-  std::vector<Endpoint> metrics;  ///< of the routers, to count repeats
+  std::vector<Endpoint> metrics;  ///< metrics endpoints of the routers, for the count of repeats
   uint64_t seed = 1;
   double requests_per_second = 40;
   Duration duration{10s};
@@ -38,7 +38,7 @@
   return settings;
 }
 
-/// The repeats that the routers have counted; -1 when none was asked.
+/// Sums the routers' counters of repeated requests; -1 if no metrics endpoint is configured.
 int64_t count_repeats(const std::vector<Endpoint>& metrics) {
   const std::string name = "stoat_router_repeats_total ";
   int64_t repeats = metrics.empty() ? -1 : 0;
@@ -79,6 +79,6 @@
 int main(int argc, const char** argv) {
   using namespace stoat;
   const CommandLine command_line = parse_command_line(
-      argc, argv, "stoat-load", "Sends a seeded mix of requests in an open loop and checks every answer.");
+      argc, argv, "stoat-load", "Sends a seeded mix of requests in an open loop and checks every response.");
   return tools::run(load_program_settings<tools::LoadSettings>(command_line, tools::read_settings));
 }
--- a/tools/load_report.cc
+++ b/tools/load_report.cc
@@ -1,4 +1,4 @@
-/// What a run of the load generator showed.
+/// The report of a load generator run.
 #include <iomanip>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -13,62 +13,63 @@
 
 using nlohmann::json;
 
-/// Counts of one route.
-struct RouteSums {
+/// Totals of one route.
+struct RouteTotals {
   uint64_t sent = 0;
-  std::map<CallerOutcome, uint64_t> outcomes;
+  std::map<RequestOutcome, uint64_t> outcomes;
   uint64_t late = 0;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
-  Samples first_event_ms;
+  Samples times_to_first_event_ms;
 };
 
-void add(RouteSums& sums, const RequestRecord& record) {
-  ++sums.sent;
-  ++sums.outcomes[record.outcome];
-  if (record.outcome != CallerOutcome::kComplete) {
+void add(RouteTotals& totals, const RequestRecord& record) {
+  ++totals.sent;
+  ++totals.outcomes[record.outcome];
+  if (record.outcome != RequestOutcome::kComplete) {
     return;
   }
-  sums.late += record.late ? 1 : 0;
-  sums.prompt_tokens += record.planned.prompt_tokens;
-  sums.cached_tokens += record.cached_tokens;
-  sums.first_event_ms.add(static_cast<double>(to_milliseconds(record.first_event)));
+  totals.late += record.late ? 1 : 0;
+  totals.prompt_tokens += record.planned.prompt_tokens;
+  totals.cached_tokens += record.cached_tokens;
+  totals.times_to_first_event_ms.add(static_cast<double>(to_milliseconds(record.time_to_first_event)));
 }
 
-json to_json(const std::string& route, RouteSums& sums) {
+json to_json(const std::string& route, RouteTotals& totals) {
   return {{"route", route},
-          {"sent", sums.sent},
-          {"complete", sums.outcomes[CallerOutcome::kComplete]},
-          {"late", sums.late},
-          {"refused", sums.outcomes[CallerOutcome::kRefused]},
-          {"failed", sums.outcomes[CallerOutcome::kFailed]},
-          {"wrong", sums.outcomes[CallerOutcome::kWrong]},
-          {"first_event_p50_ms", sums.first_event_ms.quantile(0.5)},
-          {"first_event_p99_ms", sums.first_event_ms.quantile(0.99)},
-          {"prompt_tokens", sums.prompt_tokens},
-          {"cached_tokens", sums.cached_tokens}};
+          {"sent", totals.sent},
+          {"complete", totals.outcomes[RequestOutcome::kComplete]},
+          {"late", totals.late},
+          {"refused", totals.outcomes[RequestOutcome::kRefused]},
+          {"failed", totals.outcomes[RequestOutcome::kFailed]},
+          {"wrong", totals.outcomes[RequestOutcome::kWrong]},
+          {"first_event_p50_ms", totals.times_to_first_event_ms.quantile(0.5)},
+          {"first_event_p99_ms", totals.times_to_first_event_ms.quantile(0.99)},
+          {"prompt_tokens", totals.prompt_tokens},
+          {"cached_tokens", totals.cached_tokens}};
 }
 
-/// How much a request is worth looking into: broken ones before refused ones before late ones.
-int interest(const RequestRecord& record) {
+/// Priority for a diagnosis: wrong and failed requests first, then refused, then late ones. 0: none needed.
+int explain_priority(const RequestRecord& record) {
   switch (record.outcome) {
-    case CallerOutcome::kWrong:
-    case CallerOutcome::kFailed:
+    case RequestOutcome::kWrong:
+    case RequestOutcome::kFailed:
       return 3;
-    case CallerOutcome::kRefused:
+    case RequestOutcome::kRefused:
       return 2;
-    case CallerOutcome::kComplete:
+    case RequestOutcome::kComplete:
       return record.late ? 1 : 0;
   }
   return 0;
 }
 
-std::string most_interesting(const std::vector<RequestRecord>& records) {
+/// Id of the first request with the highest priority; empty if all requests completed on time.
+std::string request_to_explain(const std::vector<RequestRecord>& records) {
   std::string id;
   int highest = 0;
   for (const RequestRecord& record : records) {
-    if (interest(record) > highest) {
-      highest = interest(record);
+    if (explain_priority(record) > highest) {
+      highest = explain_priority(record);
       id = record.planned.id;
     }
   }
@@ -79,24 +80,24 @@
 
 json make_report(const std::vector<RequestClass>& classes, const std::vector<RequestRecord>& records,
                  int64_t repeats) {
-  std::vector<RouteSums> sums(classes.size());
+  std::vector<RouteTotals> totals(classes.size());
   for (const RequestRecord& record : records) {
-    add(sums[record.planned.request_class], record);
+    add(totals[record.planned.request_class], record);
   }
   json routes = json::array();
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
   for (size_t position = 0; position < classes.size(); ++position) {
-    routes.push_back(to_json(classes[position].route, sums[position]));
-    prompt_tokens += sums[position].prompt_tokens;
-    cached_tokens += sums[position].cached_tokens;
+    routes.push_back(to_json(classes[position].route, totals[position]));
+    prompt_tokens += totals[position].prompt_tokens;
+    cached_tokens += totals[position].cached_tokens;
   }
   const double share =
       prompt_tokens == 0 ? 0 : static_cast<double>(cached_tokens) / static_cast<double>(prompt_tokens);
   return {{"routes", routes},
           {"cached_share", share},
           {"repeats", repeats},
-          {"to_explain", most_interesting(records)}};
+          {"to_explain", request_to_explain(records)}};
 }
 
 std::string report_table(const json& report) {
@@ -108,7 +109,7 @@
   for (const char* title : {"sent", "complete", "late", "refused", "failed", "wrong", "p50 ms", "p99 ms"}) {
     table << std::setw(kWidth) << title;
   }
-  table << "   (ms: to the first event, or the answer)\n";
+  table << "   (ms: time to the first event or to the response)\n";
   for (const json& route : report["routes"]) {
     table << std::left << std::setw(kNameWidth) << route["route"].get<std::string>() << std::right;
     for (const char* count : {"sent", "complete", "late", "refused", "failed", "wrong"}) {
@@ -122,7 +123,7 @@
   table << std::fixed << std::setprecision(1)
         << "prompt tokens found in caches: " << kPercent * report["cached_share"].get<double>() << " %\n";
   if (report["repeats"].get<int64_t>() >= 0) {
-    table << "repeats at another back end: " << report["repeats"].get<int64_t>() << "\n";
+    table << "repeats at another backend: " << report["repeats"].get<int64_t>() << "\n";
   }
   return table.str();
 }
--- a/tools/paired_days.py
+++ b/tools/paired_days.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""Plays the same days and seeds with two checkouts and prints the paired difference.
+"""Runs the same bench days and seeds on two checkouts and prints the paired differences.
 
-The bench is a program outside the project; its path is an argument. Each play leaves an entry in the journal of
-its own checkout. Example:
+The bench is a program outside the project; its path is an argument. A site file defines the days of a site. The bench
+runs one day of it with a seed and reports the worth of the run. Each run adds an entry to the journal of its own
+checkout. Example:
 
     tools/paired_days.py --bench ../bench --site a.toml --site b.toml --seeds 1,2 --why "waits for memory" BASE .
 
-Prints, for each site and day, the mean worth of both checkouts and the difference with its standard error, then the
-parts and prices that differ, in units of worth.
+For each site and day, prints the mean worth for both checkouts and the mean difference with its standard error. Then
+prints the parts, and the prices that differ, in units of worth.
 """
 
 import argparse
@@ -23,12 +24,12 @@
 from dataclasses import dataclass, field
 
 TROUBLE_SLOTS_EXCLUDED = {"quiet"}
-"""Days in these slots of a site file are left out unless --quiet is given."""
+"""Days in these slots of a site file are skipped unless --quiet is given."""
 
 
 @dataclass(frozen=True)
 class Play:
-    """One day of one site with one seed; `seed` is None for the day's own seed."""
+    """One run of the bench: a day of a site with a seed. `seed` is None for the day's own seed."""
 
     site: str
     day: str
@@ -37,7 +38,7 @@
 
 @dataclass
 class Outcome:
-    """What the bench reported of a play."""
+    """The results that the bench reported for one run."""
 
     worth: float = 0.0
     unserved: float = 0.0
@@ -46,7 +47,7 @@
 
 
 def standard_days(site: str, with_quiet: bool) -> list[str]:
-    """Names of the standard days of a site file."""
+    """Returns the names of the standard days in a site file."""
     days = []
     with open(site, encoding="utf-8") as lines:
         text = lines.read()
@@ -59,7 +60,7 @@
 
 
 def read_outcome(path: str) -> Outcome:
-    """Reads the report file of a play."""
+    """Reads the report file of one run."""
     with open(path, encoding="utf-8") as file:
         report = json.load(file)
     amounts = {}
@@ -73,7 +74,7 @@
 
 
 def play_day(bench: str, checkout: str, play: Play, arguments: argparse.Namespace) -> Outcome | None:
-    """Plays one day. Returns None, and says why on standard error, when the bench gave no report."""
+    """Runs one day. If the bench wrote no report, prints its output to standard error and returns None."""
     with tempfile.TemporaryDirectory() as folder:
         report = os.path.join(folder, "report.json")
         command = [bench, "run", os.path.abspath(play.site), play.day, "--report", report, "--why", arguments.why]
@@ -89,7 +90,7 @@
 
 
 def spread(values: list[float]) -> str:
-    """Mean and standard error of some differences."""
+    """Formats the mean of some differences and, if there are at least two, its standard error."""
     mean = statistics.fmean(values)
     if len(values) < 2:
         return f"{mean:+.4f}"
@@ -97,10 +98,10 @@
 
 
 def print_site(site: str, plays: list[Play], base: dict[Play, Outcome], changed: dict[Play, Outcome]) -> None:
-    """Prints the table of one site."""
+    """Prints the comparison for one site."""
     both = [play for play in plays if play.site == site and base.get(play) and changed.get(play)]
     if not both:
-        print(f"{site}: nothing to compare")
+        print(f"{site}: no run succeeded on both checkouts")
         return
     print(f"\n{os.path.basename(site)}: {len(both)} pairs")
     for day in sorted({play.day for play in both}):
@@ -132,15 +133,15 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("base", help="checkout to compare with")
     parser.add_argument("changed", help="checkout with the change")
-    parser.add_argument("--bench", required=True, help="path of the bench's program")
+    parser.add_argument("--bench", required=True, help="path of the bench program")
     parser.add_argument("--site", action="append", required=True, help="site file; may be given more than once")
-    parser.add_argument("--days", default="", help="days, joined by commas; default: all with trouble")
-    parser.add_argument("--quiet", action="store_true", help="with the quiet days")
-    parser.add_argument("--seeds", default="", help="seeds, joined by commas; default: each day's own")
-    parser.add_argument("--jobs", type=int, default=4, help="plays at the same time")
-    parser.add_argument("--cpu", action="store_true", help="charge processor time; results then vary with the machine")
-    parser.add_argument("--why", required=True, help="line for the journal")
-    parser.add_argument("--keep", default="", help="file that keeps the base's outcomes between calls")
+    parser.add_argument("--days", default="", help="comma-separated days; default: all except the quiet ones")
+    parser.add_argument("--quiet", action="store_true", help="include the quiet days")
+    parser.add_argument("--seeds", default="", help="comma-separated seeds; default: each day's own")
+    parser.add_argument("--jobs", type=int, default=4, help="number of parallel runs")
+    parser.add_argument("--cpu", action="store_true", help="charge processor time; results then depend on the machine")
+    parser.add_argument("--why", required=True, help="reason for the runs, for the journal entry")
+    parser.add_argument("--keep", default="", help="file that caches the base results between invocations")
     arguments = parser.parse_args()
 
     bench = os.path.abspath(arguments.bench)
@@ -171,7 +172,7 @@
 
 
 def load_kept(path: str) -> dict[Play, Outcome]:
-    """Outcomes of the base that an earlier call kept."""
+    """Loads the results of the base checkout that an earlier invocation saved."""
     if not path or not os.path.exists(path):
         return {}
     with open(path, encoding="utf-8") as file:
@@ -179,7 +180,7 @@
 
 
 def save_kept(path: str, base: dict[Play, Outcome | None]) -> None:
-    """Keeps the base's outcomes for later calls."""
+    """Saves the results of the base checkout for later invocations."""
     if not path:
         return
     entries = [
--- a/tools/process_fleet.cc
+++ b/tools/process_fleet.cc
@@ -18,10 +18,10 @@
 
 namespace {
 
-/// Below the range from which systems take ports for outgoing connections.
+/// Ports below the ephemeral range, from which the kernel takes ports for outgoing connections.
 constexpr uint16_t kFirstPort = 20000;
 constexpr uint16_t kLastPort = 29999;
-constexpr Duration kWaitStep = 10ms;
+constexpr Duration kPollInterval = 10ms;
 
 bool port_is_free(uint16_t port) {
   const int socket_number = socket(AF_INET, SOCK_STREAM, 0);
@@ -41,7 +41,7 @@
 ProcessFleet::ProcessFleet(std::string bin_folder, std::string work_folder)
     : bin_folder_(std::move(bin_folder)),
       work_folder_(std::move(work_folder)),
-      // Fleets that run side by side begin at different ports.
+      // Fleets of concurrent processes start at different ports.
       next_port_(static_cast<uint16_t>(kFirstPort + (static_cast<unsigned>(getpid()) * 61U) % 9000U)) {
   std::filesystem::create_directories(work_folder_);
 }
@@ -53,7 +53,7 @@
 }
 
 Endpoint ProcessFleet::free_endpoint() {
-  for (int tries = 0; tries < kLastPort - kFirstPort; ++tries) {
+  for (int attempts = 0; attempts < kLastPort - kFirstPort; ++attempts) {
     const uint16_t port = next_port_;
     next_port_ = next_port_ >= kLastPort ? kFirstPort : static_cast<uint16_t>(next_port_ + 1);
     if (port_is_free(port)) {
@@ -89,7 +89,7 @@
     const int log = open(log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
-    // A child that held this process's sockets would keep their connections open.
+    // If the child inherited this process's sockets, their connections would stay open.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execv(program.c_str(), raw_arguments.data());
     _exit(127);
@@ -104,27 +104,27 @@
   }
 }
 
-void ProcessFleet::ask_to_stop(const std::string& name) { send_signal(name, SIGTERM); }
+void ProcessFleet::request_stop(const std::string& name) { send_signal(name, SIGTERM); }
 
 int ProcessFleet::wait_stopped(const std::string& name, Duration limit) {
   Process& process = processes_.at(name);
   if (process.pid == 0) {
     return 0;
   }
-  for (Duration waited{0}; waited < limit; waited += kWaitStep) {
+  for (Duration waited{0}; waited < limit; waited += kPollInterval) {
     int status = 0;
     if (waitpid(process.pid, &status, WNOHANG) == process.pid) {
       process.pid = 0;
       return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     }
-    sleep_for(kWaitStep);
+    sleep_for(kPollInterval);
   }
   kill(name);
   return -1;
 }
 
 int ProcessFleet::stop(const std::string& name, Duration limit) {
-  ask_to_stop(name);
+  request_stop(name);
   return wait_stopped(name, limit);
 }
 
@@ -137,11 +137,11 @@
   }
 }
 
-void ProcessFleet::freeze(const std::string& name) { send_signal(name, SIGSTOP); }
+void ProcessFleet::pause(const std::string& name) { send_signal(name, SIGSTOP); }
 
-void ProcessFleet::thaw(const std::string& name) { send_signal(name, SIGCONT); }
+void ProcessFleet::resume(const std::string& name) { send_signal(name, SIGCONT); }
 
-bool ProcessFleet::runs(const std::string& name) {
+bool ProcessFleet::is_running(const std::string& name) {
   Process& process = processes_.at(name);
   if (process.pid > 0 && waitpid(process.pid, nullptr, WNOHANG) == process.pid) {
     process.pid = 0;
@@ -156,7 +156,7 @@
   return text.str();
 }
 
-std::string ProcessFleet::folder(const std::string& name) const {
+std::string ProcessFleet::make_folder(const std::string& name) const {
   std::string path = work_folder_ + "/" + name;
   std::filesystem::create_directories(path);
   return path;
--- a/tools/process_fleet.h
+++ b/tools/process_fleet.h
@@ -1,4 +1,4 @@
-/// Starts, stops, freezes and kills processes of a fleet on loopback. For the fleet runner and the process
+/// Starts, stops, pauses and kills the processes of a fleet on loopback. Used by stoat-chaos and the process
 /// tests.
 #pragma once
 
@@ -13,38 +13,44 @@
 
 namespace stoat::tools {
 
-/// The processes of one fleet. All that still run are killed when it goes.
+/// The processes of one fleet, by name. The destructor kills those that are still running. start() and the
+/// functions that signal, await or inspect a process throw std::out_of_range if its name was not added.
 class ProcessFleet {
  public:
-  /// Programs are taken from `bin_folder`; data folders and log files go under `work_folder`.
+  /// Programs are executed from `bin_folder`; data folders and log files are created in `work_folder`.
   ProcessFleet(std::string bin_folder, std::string work_folder);
   ~ProcessFleet();
   ProcessFleet(const ProcessFleet&) = delete;
   ProcessFleet& operator=(const ProcessFleet&) = delete;
 
-  /// A loopback endpoint whose port was free just now and that this fleet has not given out before.
+  /// Returns a loopback endpoint whose port is currently free and was not returned before. Throws
+  /// std::runtime_error if there is none.
   Endpoint free_endpoint();
-  /// Declares a process: a program and its "key=value" settings.
+  /// Adds a process without starting it: its program and its "key=value" settings.
   void add(const std::string& name, const std::string& program, const std::vector<std::string>& settings);
+  /// Its output is appended to the log file NAME.log.
   void start(const std::string& name);
-  /// SIGTERM, then waits. Returns the exit status; -1 when it had to be killed after `limit`.
+  /// Sends SIGTERM and waits. Returns the exit status, 128 + N if signal N ended the process, or -1 if it had
+  /// to be killed after `limit`.
   int stop(const std::string& name, Duration limit = Duration(30s));
-  /// SIGTERM without waiting; finish with wait_stopped().
-  void ask_to_stop(const std::string& name);
+  /// Sends SIGTERM without waiting; wait_stopped() waits.
+  void request_stop(const std::string& name);
+  /// Waits for the process to exit; returns the same as stop().
   int wait_stopped(const std::string& name, Duration limit = Duration(30s));
-  /// SIGKILL.
+  /// Sends SIGKILL and waits for the process to exit.
   void kill(const std::string& name);
-  /// SIGSTOP and SIGCONT.
-  void freeze(const std::string& name);
-  void thaw(const std::string& name);
-  bool runs(const std::string& name);
-  /// 0 when it does not run.
+  /// Sends SIGSTOP.
+  void pause(const std::string& name);
+  /// Sends SIGCONT.
+  void resume(const std::string& name);
+  bool is_running(const std::string& name);
+  /// The process id; 0 if it is not running.
   pid_t pid_of(const std::string& name) const { return processes_.at(name).pid; }
-  /// The log written by a process so far.
+  /// The output of the process so far.
   std::string log_of(const std::string& name) const;
   std::string work_folder() const { return work_folder_; }
-  /// A folder of this name under the work folder, made when needed.
-  std::string folder(const std::string& name) const;
+  /// Creates a folder of this name in the work folder if necessary, and returns its path.
+  std::string make_folder(const std::string& name) const;
   std::vector<std::string> names() const;
 
  private:
@@ -61,7 +67,7 @@
   uint16_t next_port_;
 };
 
-/// Sleeps on the real clock.
+/// Blocks the calling thread for `span` of real time.
 void sleep_for(Duration span);
 
 }  // namespace stoat::tools
--- a/tools/quantiles.h
+++ b/tools/quantiles.h
@@ -6,12 +6,12 @@
 
 namespace stoat::tools {
 
-/// Collects samples and gives quantiles of them.
+/// Collects samples and computes their quantiles.
 class Samples {
  public:
   void add(double value) { values_.push_back(value); }
   size_t count() const { return values_.size(); }
-  /// The value at quantile `q` in [0, 1] by the nearest-rank rule; 0 when there are no samples.
+  /// The value at quantile `q` in [0, 1] by the nearest-rank rule; 0 if there are no samples.
   double quantile(double q) const {
     if (values_.empty()) {
       return 0;
--- a/tools/request_mix.cc
+++ b/tools/request_mix.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr uint64_t kDocuments = 4;  ///< outermost parts of each route
-constexpr uint64_t kSessions = 12;  ///< middle parts of each document
+constexpr uint64_t kDocuments = 4;  ///< distinct first prompt parts per route
+constexpr uint64_t kSessions = 12;  ///< distinct second prompt parts per document
 
-size_t draw_class(const std::vector<RequestClass>& classes, Random& random) {
+size_t pick_class(const std::vector<RequestClass>& classes, Random& random) {
   double total = 0;
   for (const RequestClass& request_class : classes) {
     total += request_class.share;
@@ -31,9 +31,9 @@
   const uint64_t session = hash_pair(document, random.below(kSessions));
   request.prompt_parts = part_text(document, request_class.shared_tokens) + "," +
                          part_text(session, request_class.session_tokens) + "," +
-                         part_text(random.bits(), request_class.own_tokens);
+                         part_text(random.bits(), request_class.unique_tokens);
   request.prompt_tokens =
-      request_class.shared_tokens + request_class.session_tokens + request_class.own_tokens;
+      request_class.shared_tokens + request_class.session_tokens + request_class.unique_tokens;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
   while (from_seconds(at_s) < duration) {
     PlannedRequest request;
     request.at = from_seconds(at_s);
-    request.request_class = draw_class(classes, random);
+    request.request_class = pick_class(classes, random);
     request.id = to_hex(random.bits());
     if (classes[request.request_class].streaming) {
       add_prompt(classes[request.request_class], random, request);
--- a/tools/request_mix.h
+++ b/tools/request_mix.h
@@ -1,4 +1,5 @@
-/// A seeded mix of requests: long prompts that share parts, over streaming, repeatable and once-only routes.
+/// A seeded mix of requests for streaming, repeatable and run-once routes. Streaming requests have long
+/// prompts with shared prefixes.
 #pragma once
 
 #include <string>
@@ -9,33 +10,34 @@
 
 namespace stoat::tools {
 
-/// What requests of one route look like.
+/// Properties of the requests of one route.
 struct RequestClass {
-  std::string route;  ///< its path is "/ROUTE/"
-  double share = 1;   ///< of all requests
+  std::string route;  ///< name of the route; requests have paths below "/ROUTE/"
+  double share = 1;   ///< relative frequency among all requests
   bool streaming = false;
-  uint32_t shared_tokens = 0;   ///< of the outermost part of the prompt
-  uint32_t session_tokens = 0;  ///< of the middle part
-  uint32_t own_tokens = 0;
+  uint32_t shared_tokens = 0;   ///< in the first prompt part, shared by many requests
+  uint32_t session_tokens = 0;  ///< in the second part, shared within a session
+  uint32_t unique_tokens = 0;   ///< in the last part, which no other request shares
   uint32_t output_tokens = 1;
   int64_t deadline_ms = 5000;
-  int64_t target_ms = 1000;  ///< until the first event, or the answer: later is late
-  uint32_t most_runs = 1;    ///< back ends that may run one request
+  int64_t target_ms = 1000;  ///< time to the first event or the response; slower requests count as late
+  uint32_t max_runs = 1;     ///< number of times that a request may run
 };
 
-/// The mix that goes with the configuration of scripts/demo.json.
+/// The request classes for the routes in scripts/demo.json.
 std::vector<RequestClass> demo_classes();
 
-/// One request.
+/// One planned request.
 struct PlannedRequest {
-  TimePoint at{0};  ///< since the start
-  size_t request_class = 0;
+  TimePoint at{0};           ///< since the start of the load
+  size_t request_class = 0;  ///< index into the classes of the plan
   std::string id;
-  std::string prompt_parts;  ///< NAME:TOKENS, joined by commas; empty: none
+  std::string prompt_parts;  ///< NAME:TOKENS items, separated by commas; empty: no prompt
   uint32_t prompt_tokens = 0;
 };
 
-/// The requests of a run, in the order of time. The same arguments give the same plan.
+/// Generates the requests of a run in order of time, with exponentially distributed gaps. The same arguments
+/// always give the same plan.
 std::vector<PlannedRequest> plan_requests(const std::vector<RequestClass>& classes,
                                           double requests_per_second, Duration duration, uint64_t seed);
 
--- a/tools/served_fleet.cc
+++ b/tools/served_fleet.cc
@@ -14,9 +14,9 @@
 using nlohmann::json;
 
 constexpr int kOk = 200;
-constexpr Duration kStartLimit = 30s;
-constexpr Duration kPoll = 50ms;
-constexpr Duration kCallLimit = 3s;
+constexpr Duration kStartTimeout = 30s;
+constexpr Duration kPollInterval = 50ms;
+constexpr Duration kCallTimeout = 3s;
 
 std::string quoted(const std::string& text) { return "\"" + text + "\""; }
 
@@ -30,14 +30,14 @@
   return key + "=[" + list + "]";
 }
 
-http::ClientResult call(const Endpoint& endpoint, const std::string& method, const std::string& path,
-                        const std::string& body = "") {
+http::ClientResult send_request(const Endpoint& endpoint, const std::string& method, const std::string& path,
+                                const std::string& body = "") {
   http::ClientRequest request;
   request.endpoint = endpoint;
   request.method = method;
   request.path = path;
   request.body = body;
-  request.timeout = kCallLimit;
+  request.timeout = kCallTimeout;
   return http::fetch(request);
 }
 
@@ -45,7 +45,7 @@
 
 ServedFleet::ServedFleet(ProcessFleet& processes, const ServedFleetOptions& options)
     : processes_(processes), options_(options) {
-  add_controls();
+  add_control_members();
   add_routers();
   for (uint32_t number = 1; number <= options.engines; ++number) {
     add_backend("engine-" + std::to_string(number), "engines", true);
@@ -56,34 +56,34 @@
   }
 }
 
-void ServedFleet::add_controls() {
+void ServedFleet::add_control_members() {
   std::vector<Endpoint> internal;
-  for (uint32_t number = 1; number <= options_.controls; ++number) {
+  for (uint32_t number = 1; number <= options_.control_members; ++number) {
     internal.push_back(processes_.free_endpoint());
   }
-  seeds_ = list_setting("seeds", internal);
-  for (uint32_t number = 1; number <= options_.controls; ++number) {
+  seeds_setting_ = list_setting("seeds", internal);
+  for (uint32_t number = 1; number <= options_.control_members; ++number) {
     const std::string name = "control-" + std::to_string(number);
-    controls_.push_back(name);
-    admin_.push_back(processes_.free_endpoint());
-    processes_.add(
-        name, "stoat-control",
-        {setting("name", name), setting("zone", "zone-" + std::to_string(number)), seeds_,
-         setting("internal", to_string(internal[number - 1])), setting("control", to_string(admin_.back())),
-         setting("directory", to_string(processes_.free_endpoint())),
-         setting("metrics", to_string(processes_.free_endpoint())),
-         setting("data_folder", processes_.folder(name + "-data")), "first_start=true",
-         "tolerated_losses=" + std::to_string((options_.controls - 1) / 2)});
+    control_names_.push_back(name);
+    admin_endpoints_.push_back(processes_.free_endpoint());
+    processes_.add(name, "stoat-control",
+                   {setting("name", name), setting("zone", "zone-" + std::to_string(number)), seeds_setting_,
+                    setting("internal", to_string(internal[number - 1])),
+                    setting("control", to_string(admin_endpoints_.back())),
+                    setting("directory", to_string(processes_.free_endpoint())),
+                    setting("metrics", to_string(processes_.free_endpoint())),
+                    setting("data_folder", processes_.make_folder(name + "-data")), "first_start=true",
+                    "tolerated_losses=" + std::to_string((options_.control_members - 1) / 2)});
   }
 }
 
 void ServedFleet::add_routers() {
   for (uint32_t number = 1; number <= options_.routers; ++number) {
     const std::string name = "router-" + std::to_string(number);
-    routers_.push_back(processes_.free_endpoint());
+    router_endpoints_.push_back(processes_.free_endpoint());
     processes_.add(name, "stoat-router",
-                   {setting("name", name), setting("zone", "zone-" + std::to_string(number)), seeds_,
-                    setting("listen", to_string(routers_.back())),
+                   {setting("name", name), setting("zone", "zone-" + std::to_string(number)), seeds_setting_,
+                    setting("listen", to_string(router_endpoints_.back())),
                     setting("ready", to_string(processes_.free_endpoint())),
                     setting("metrics", to_string(processes_.free_endpoint()))});
   }
@@ -91,11 +91,11 @@
 
 void ServedFleet::add_backend(const std::string& name, const std::string& service, bool engine,
                               double rate_limit) {
-  backends_.push_back(name);
+  backend_names_.push_back(name);
   std::vector<std::string> settings = {setting("name", name), setting("service", service),
                                        setting("listen", to_string(processes_.free_endpoint())),
                                        setting("runs_file", runs_file(name)),
-                                       list_setting("control", admin_)};
+                                       list_setting("control", admin_endpoints_)};
   if (!engine && !options_.software.empty()) {
     settings.push_back(setting("software", options_.software));
   }
@@ -115,11 +115,11 @@
 }
 
 void ServedFleet::start_service(const std::string& name, const std::string& software, uint32_t fails_each) {
-  backends_.push_back(name);
+  backend_names_.push_back(name);
   processes_.add(name, "standin-backend",
                  {setting("name", name), setting("service", "search"),
                   setting("listen", to_string(processes_.free_endpoint())),
-                  setting("runs_file", runs_file(name)), list_setting("control", admin_),
+                  setting("runs_file", runs_file(name)), list_setting("control", admin_endpoints_),
                   setting("software", software), "fails_each=" + std::to_string(fails_each)});
   processes_.start(name);
 }
@@ -135,11 +135,14 @@
   std::ifstream file(options_.configuration_file);
   std::ostringstream document;
   document << file.rdbuf();
-  if (!put_configuration(document.str(), kStartLimit)) {
-    throw std::runtime_error("the configuration was not taken; see " + processes_.work_folder());
+  if (!put_configuration(document.str(), kStartTimeout)) {
+    throw std::runtime_error("the configuration was not accepted; see the logs in " +
+                             processes_.work_folder());
   }
-  if (!wait_until([this] { return knows(routers_.size(), backends_.size()); }, kStartLimit)) {
-    throw std::runtime_error("the fleet is not complete; see " + processes_.work_folder());
+  if (!wait_until([this] { return has_registered(router_endpoints_.size(), backend_names_.size()); },
+                  kStartTimeout)) {
+    throw std::runtime_error("not all routers and backends were registered in time; see the logs in " +
+                             processes_.work_folder());
   }
 }
 
@@ -147,15 +150,15 @@
   size_t next = 0;
   return wait_until(
       [&] {
-        const Endpoint& member = admin_[next++ % admin_.size()];
-        return call(member, "PUT", control::FleetPaths().configuration, document).status == kOk;
+        const Endpoint& member = admin_endpoints_[next++ % admin_endpoints_.size()];
+        return send_request(member, "PUT", control::FleetPaths().configuration, document).status == kOk;
       },
       limit);
 }
 
 json ServedFleet::status_of_leader() const {
-  for (const Endpoint& member : admin_) {
-    json page = json::parse(call(member, "GET", control::FleetPaths().status).body, nullptr, false);
+  for (const Endpoint& member : admin_endpoints_) {
+    json page = json::parse(send_request(member, "GET", control::FleetPaths().status).body, nullptr, false);
     if (page.is_object() && page["leads"] == true) {
       return page;
     }
@@ -164,11 +167,11 @@
 }
 
 std::string ServedFleet::leader() const {
-  for (size_t position = 0; position < admin_.size(); ++position) {
-    const json page =
-        json::parse(call(admin_[position], "GET", control::FleetPaths().status).body, nullptr, false);
+  for (size_t position = 0; position < admin_endpoints_.size(); ++position) {
+    const json page = json::parse(
+        send_request(admin_endpoints_[position], "GET", control::FleetPaths().status).body, nullptr, false);
     if (page.is_object() && page["leads"] == true) {
-      return controls_[position];
+      return control_names_[position];
     }
   }
   return "";
@@ -180,12 +183,12 @@
     if (monotonic_now() >= end) {
       return false;
     }
-    sleep_for(kPoll);
+    sleep_for(kPollInterval);
   }
   return true;
 }
 
-bool ServedFleet::knows(size_t routers, size_t backends) const {
+bool ServedFleet::has_registered(size_t routers, size_t backends) const {
   const json status = status_of_leader();
   if (status.is_null() || status["routers"].size() != routers) {
     return false;
@@ -199,7 +202,7 @@
 
 LoadTarget ServedFleet::target() const {
   LoadTarget target;
-  target.routers = routers_;
+  target.routers = router_endpoints_;
   return target;
 }
 
@@ -215,7 +218,7 @@
 
 std::multiset<std::string> ServedFleet::runs() const {
   std::multiset<std::string> runs;
-  for (const std::string& name : backends_) {
+  for (const std::string& name : backend_names_) {
     runs.merge(runs_at(name));
   }
   return runs;
@@ -230,25 +233,26 @@
   return runs;
 }
 
-std::vector<std::string> check_promises(const std::vector<RequestClass>& classes,
-                                        const std::vector<RequestRecord>& records,
-                                        const std::multiset<std::string>& runs) {
+std::vector<std::string> check_guarantees(const std::vector<RequestClass>& classes,
+                                          const std::vector<RequestRecord>& records,
+                                          const std::multiset<std::string>& runs) {
   std::vector<std::string> violations;
   for (const RequestRecord& record : records) {
     const RequestClass& request_class = classes[record.planned.request_class];
     const size_t count = runs.count(record.planned.id);
-    const std::string who = request_class.route + " " + record.planned.id;
-    if (record.outcome == CallerOutcome::kWrong) {
-      violations.push_back(who + " got a wrong answer");
+    const std::string description = request_class.route + " " + record.planned.id;
+    if (record.outcome == RequestOutcome::kWrong) {
+      violations.push_back(description + " got an incorrect response");
     }
-    if (record.outcome == CallerOutcome::kRefused && count > 0) {
-      violations.push_back(who + " was refused with " + std::to_string(record.status) + ", but has run");
+    if (record.outcome == RequestOutcome::kRefused && count > 0) {
+      violations.push_back(description + " was refused with " + std::to_string(record.status) +
+                           ", but has run");
     }
-    if (record.outcome == CallerOutcome::kComplete && count == 0) {
-      violations.push_back(who + " was answered, but never ran");
+    if (record.outcome == RequestOutcome::kComplete && count == 0) {
+      violations.push_back(description + " got a response, but never ran");
     }
-    if (count > request_class.most_runs) {
-      violations.push_back(who + " ran " + std::to_string(count) + " times");
+    if (count > request_class.max_runs) {
+      violations.push_back(description + " ran " + std::to_string(count) + " times");
     }
   }
   return violations;
--- a/tools/served_fleet.h
+++ b/tools/served_fleet.h
@@ -1,5 +1,5 @@
-/// A small deployment of the served programs on loopback: control members, routers, engines and a plain
-/// service, with the configuration of scripts/demo.json. For the soak and the process tests.
+/// A small fleet on loopback, with the configuration of scripts/demo.json: control members, routers,
+/// simulated engines and backends of a plain service. Used by stoat-chaos and the process tests.
 #pragma once
 
 #include <functional>
@@ -13,68 +13,72 @@
 
 namespace stoat::tools {
 
-/// How many processes of each kind.
+/// How many processes of each kind to run, and how the simulated backends behave.
 struct ServedFleetOptions {
-  uint32_t controls = 3;
+  uint32_t control_members = 3;
   uint32_t routers = 2;
   uint32_t engines = 3;
-  uint32_t services = 2;
+  uint32_t services = 2;  ///< backends of the plain service
   std::string configuration_file;
-  std::string software;           ///< version of the plain service's program; empty: not told
-  uint32_t limited_services = 0;  ///< the first so many back ends of the plain service name a limit
-  double rate_limit = 0;          ///< in requests a second
-  std::string crash_on;           ///< plain services crash under bodies that contain this; empty: under none
+  std::string software;           ///< program version that the plain service reports; empty: none
+  uint32_t limited_services = 0;  ///< how many backends of the plain service announce `rate_limit`
+  double rate_limit = 0;          ///< in requests per second
+  std::string crash_on;           ///< plain services crash on request bodies with this text; empty: never
 };
 
-/// See the head of this file. Names: control-1, router-1, engine-1, service-1 and so on.
+/// The processes are named control-1, router-1, engine-1, service-1 and so on.
 class ServedFleet {
  public:
   ServedFleet(ProcessFleet& processes, const ServedFleetOptions& options);
 
-  /// Starts all and waits until every router and back end is known to control. Throws std::runtime_error when
-  /// that takes too long.
+  /// Starts all processes and waits until every router and backend has registered with the control plane.
+  /// Throws std::runtime_error if that takes too long.
   void start();
-  /// Starts another back end of the plain service, which tells control this version of its program. Each
-  /// `fails_each`-th call to it fails; 0: none.
+  /// Starts another backend of the plain service, which reports `software` as its program version. Every
+  /// `fails_each`-th request to it fails; 0: none.
   void start_service(const std::string& name, const std::string& software, uint32_t fails_each);
-  /// Puts a document in force; false when it was not acknowledged within `limit`.
+  /// Puts a configuration document in force. Returns false if it was not acknowledged within `limit`.
   bool put_configuration(const std::string& document, Duration limit = Duration(10s)) const;
-  /// The status that the member that leads tells; null when none leads.
+  /// The status page of the leading control member; null if there is no leader.
   nlohmann::json status_of_leader() const;
-  /// The name of the leading control member; empty when there is none.
+  /// The name of the leading control member; empty if there is none.
   std::string leader() const;
-  /// Waits until `condition` holds; false after `limit`.
+  /// Waits until `condition` holds. Returns false if it does not within `limit`.
   static bool wait_until(const std::function<bool()>& condition, Duration limit);
-  /// True when this many routers and ready back ends are known to the leader.
-  bool knows(size_t routers, size_t backends) const;
+  /// Whether exactly this many routers and ready backends are registered with the leader.
+  bool has_registered(size_t routers, size_t backends) const;
+  /// The routers as a target for run_load().
   LoadTarget target() const;
-  const std::vector<Endpoint>& admin_endpoints() const { return admin_; }
+  const std::vector<Endpoint>& admin_endpoints() const { return admin_endpoints_; }
+  /// The names of all processes of a kind: "control", "router", "engine" or "service".
   std::vector<std::string> names_of(const std::string& kind) const;
-  /// Ids of requests that began to run, as often as they did, over all back ends and their kills.
+  /// The ids of all requests that started to run at any backend, once for each start. Includes runs of
+  /// backends that were killed since.
   std::multiset<std::string> runs() const;
-  /// The same of one back end.
+  /// The same for one backend.
   std::multiset<std::string> runs_at(const std::string& name) const;
 
  private:
-  void add_controls();
+  void add_control_members();
   void add_routers();
-  /// `rate_limit`: requests a second that it names as its limit; 0: it names none.
+  /// `rate_limit`: limit that the backend announces, in requests per second; 0: none.
   void add_backend(const std::string& name, const std::string& service, bool engine, double rate_limit = 0);
   std::string runs_file(const std::string& name) const;
 
   ProcessFleet& processes_;
   ServedFleetOptions options_;
-  std::vector<Endpoint> admin_;
-  std::vector<Endpoint> routers_;
-  std::vector<std::string> controls_;  ///< names
-  std::string seeds_;                  ///< as a setting
-  std::vector<std::string> backends_;  ///< names
+  std::vector<Endpoint> admin_endpoints_;
+  std::vector<Endpoint> router_endpoints_;
+  std::vector<std::string> control_names_;
+  std::string seeds_setting_;  ///< setting with the control members' internal endpoints
+  std::vector<std::string> backend_names_;
 };
 
-/// What must hold of the answers, whatever failed: no wrong answer, no request refused that has run, none run
-/// more often than its route allows. One line for each violation.
-std::vector<std::string> check_promises(const std::vector<RequestClass>& classes,
-                                        const std::vector<RequestRecord>& records,
-                                        const std::multiset<std::string>& runs);
+/// Checks the guarantees that must hold under any fault: no incorrect response, no refused request has run,
+/// every answered request has run, and none ran more often than its route allows. Returns one line for each
+/// violation.
+std::vector<std::string> check_guarantees(const std::vector<RequestClass>& classes,
+                                          const std::vector<RequestRecord>& records,
+                                          const std::multiset<std::string>& runs);
 
 }  // namespace stoat::tools
