--- a/tests/unit/free_port_test.cc
+++ b/tests/unit/free_port_test.cc
@@ -1,4 +1,4 @@
-/// The ports at which tests listen.
+/// The choice of ports on which servers in tests listen.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -12,9 +12,9 @@
 namespace stoat {
 namespace {
 
-TEST(FreePort, IsNeverOneThatAnOutgoingConnectionMayHave) {
-  // Found by the whole CI script beside other processes: between the choice of a port and the server's start,
-  // a connection of another process had got it.
+TEST(FreePort, IsOutsideTheEphemeralPortRange) {
+  // Guards against a failure seen in full CI runs beside other processes: between the choice of a port and
+  // the start of the server, the kernel gave the port to an outgoing connection of another process.
   std::ifstream range("/proc/sys/net/ipv4/ip_local_port_range");
   int first = 0;
   range >> first;
@@ -23,7 +23,7 @@
   for (int i = 0; i < 20; ++i) {
     const uint16_t port = test::free_port();
     EXPECT_LT(port, first);
-    EXPECT_TRUE(ports.insert(port).second) << "given twice";
+    EXPECT_TRUE(ports.insert(port).second) << "the port was returned twice";
   }
 }
 
