--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -8,14 +8,14 @@
 #include <queue>
 
 #include "src/common/random.h"
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 #include "tests/support/fake_engine.h"
 
 namespace stoat::placement {
 namespace {
 
 using test::FakeEngine;
-using test::FakeRun;
+using test::FakeRequestTimes;
 
 constexpr size_t kSlots = 16;
 constexpr double kFastTokensPerMs = 93;
@@ -85,7 +85,7 @@
     queue.waiting_tokens = static_cast<uint64_t>(engines_[engine].waiting_tokens(now_ms_));
     const auto own_tokens = static_cast<uint64_t>(tokens);
     const double expected = expect_first_event(service_, speeds_[engine], queue, own_tokens).total_ms();
-    const FakeRun run = engines_[engine].take(now_ms_, tokens, random_.exponential(kAnswerMs));
+    const FakeRequestTimes run = engines_[engine].take(now_ms_, tokens, random_.exponential(kAnswerMs));
     sent_.push({run.first_event_ms, engine, queue.waiting_tokens, own_tokens, queue.own_outstanding < kSlots,
                 now_ms_, run.end_ms});
     if (measured) {
@@ -154,14 +154,14 @@
 TEST(FirstEventModel, OldNewsCountLessAndLessInFavourOfTheMean) {
   EngineQueue queue;
   queue.others_outstanding = 30;
-  queue.usual_others = 6;
-  EXPECT_DOUBLE_EQ(present_outstanding(queue, 300), 30);
+  queue.mean_others_outstanding = 6;
+  EXPECT_DOUBLE_EQ(estimate_outstanding(queue, 300), 30);
   queue.age = 300ms;
-  EXPECT_NEAR(present_outstanding(queue, 300), 6 + 24 / std::exp(1), 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 6 + 24 / std::exp(1), 0.01);
   queue.age = 10s;
-  EXPECT_NEAR(present_outstanding(queue, 300), 6, 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 6, 0.01);
   queue.own_outstanding = 2;
-  EXPECT_NEAR(present_outstanding(queue, 300), 8, 0.01);
+  EXPECT_NEAR(estimate_outstanding(queue, 300), 8, 0.01);
 }
 
 TEST(FirstEventModel, AFrozenEngineDoesNotSpoilTheSpeedOfItsService) {
--- a/tests/unit/fleet_admin_api_test.cc
+++ b/tests/unit/fleet_admin_api_test.cc
@@ -41,7 +41,7 @@
 }
 
 TEST(FleetBodies, WriteOrdersWithTheProductsOwnNames) {
-  VersionOrder order;
+  LoadWeightsOrder order;
   order.model = "m";
   order.version = 2;
   order.fence = 9;
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -13,14 +13,14 @@
   EXPECT_FALSE(members_[0]->commit(put(1)));  // one voter of three: a lost disk would lose it
   start(1, true);
   start(2, true);
-  EXPECT_TRUE(commit_somewhere(1, 2));  // through a follower as well
+  EXPECT_TRUE(commit_eventually(1, 2));  // through a follower as well
   EXPECT_EQ(members_[0]->voters(), 3U);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v1"); }));
 }
 
 TEST_F(FleetMembersTest, AWriteThatComesWhenTheLeaderHasDiedIsAcknowledgedAtTheFirstAttempt) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3 && members_[2]->voters() == 3; }));
   for (const size_t position : {0, 1, 2}) {
     if (members_.count(position) == 0 || !members_[position]->leads()) {
@@ -37,29 +37,29 @@
 
 TEST_F(FleetMembersTest, AMemberThatLostItsDiskTakesItsOwnPlaceAgain) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   members_.erase(1);
   std::filesystem::remove_all(folder(1));
   start(1, false);
-  ASSERT_TRUE(commit_somewhere(2, 1));
+  ASSERT_TRUE(commit_eventually(2, 1));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3; }));
   // Its disk counts again: with the founder gone the other two go on, and know all.
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   members_.erase(0);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v2"); }));
-  EXPECT_TRUE(commit_somewhere(3, 2));
+  EXPECT_TRUE(commit_eventually(3, 2));
 }
 
 TEST_F(FleetMembersTest, AMemberAtANewAddressReplacesOneThatIsGone) {
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   members_.erase(2);
   start(3, false);
   ASSERT_TRUE(eventually([&] { return members_[3]->read() == std::optional<std::string>("v1"); }));
   ASSERT_TRUE(eventually([&] { return members_[0]->voters() == 3; }));
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   members_.erase(1);  // a second loss, after the repair
-  EXPECT_TRUE(commit_somewhere(2, 3));
+  EXPECT_TRUE(commit_eventually(2, 3));
 }
 
 TEST_F(FleetMembersTest, ABlankFleetThatDoesNotStartForTheFirstTimeFoundsNothing) {
@@ -74,7 +74,7 @@
 TEST_F(FleetMembersTest, TheNextLeaderOrdersWeightsFromWhatAllMembersKnow) {
   // Found on the large fleets: what the leader knew of engines and of the naming of weights went with it.
   start_all();
-  ASSERT_TRUE(commit_somewhere(1, 0));
+  ASSERT_TRUE(commit_eventually(1, 0));
   fleet::BackendRecord engine;
   engine.id = "e1";
   engine.service = "models";
@@ -82,7 +82,7 @@
   engine.sequence = 1;
   engine.models = {{"m", 1}};
   members_[0]->heartbeat(engine);  // the only one, and to one member only
-  ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::NameWeights{"m", 2}); }));
+  ASSERT_TRUE(eventually([&] { return members_[0]->commit(fleet::SetTargetWeights{"m", 2}); }));
   const auto leader = [&]() -> std::optional<size_t> {
     for (auto& [position, member] : members_) {
       if (member->orders() > 0) {
@@ -99,7 +99,7 @@
 TEST_F(FleetMembersTest, AllThatWasAcknowledgedOutlivesALossOfPowerOfAll) {
   start_all();
   for (uint64_t version = 1; version <= 25; ++version) {
-    ASSERT_TRUE(commit_somewhere(version, version % 3));
+    ASSERT_TRUE(commit_eventually(version, version % 3));
   }
   members_.clear();
   for (size_t i = 0; i < 3; ++i) {
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -6,12 +6,12 @@
 #include <set>
 
 #include "src/delivery/event_splitter.h"
-#include "src/delivery/window_budget.h"
+#include "src/delivery/retry_budget.h"
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/request_fields.h"
-#include "src/dispatch/request_run.h"
 #include "src/fleet/backend_registry.h"
 #include "src/fleet/fleet_state.h"
-#include "src/placement/part_placement.h"
+#include "src/placement/prompt_placement.h"
 #include "src/routing/route_table.h"
 
 namespace stoat {
@@ -69,8 +69,8 @@
 
 TEST(FleetState, WeightsOnlyGoUpAndARetiredBackEndStaysRetired) {
   fleet::FleetState state;
-  state.apply(fleet::NameWeights{"m", 4});
-  state.apply(fleet::NameWeights{"m", 2});
+  state.apply(fleet::SetTargetWeights{"m", 4});
+  state.apply(fleet::SetTargetWeights{"m", 2});
   EXPECT_EQ(state.weights().at("m"), 4U);
   state.apply(fleet::RetireBackend{"e", fleet::BackendState::kGone});
   state.apply(fleet::RetireBackend{"e", fleet::BackendState::kDraining});
@@ -154,8 +154,8 @@
   EXPECT_EQ(table.tenant_of_key("x"), nullptr);
 }
 
-TEST(SplitChooser, GivesEachPartItsShare) {
-  routing::SplitChooser chooser;
+TEST(TrafficSplitter, GivesEachPartItsShare) {
+  routing::TrafficSplitter chooser;
   const auto configuration = sample();
   std::map<std::string, int> counts;
   for (int i = 0; i < 400; ++i) {
@@ -165,8 +165,8 @@
   EXPECT_EQ(counts["b"], 100);
 }
 
-TEST(SplitChooser, APartOfNoWeightGetsNothing) {
-  routing::SplitChooser chooser;
+TEST(TrafficSplitter, APartOfNoWeightGetsNothing) {
+  routing::TrafficSplitter chooser;
   auto configuration = sample();
   configuration.routes[0].shares = {{"a", 0}, {"b", 2}};
   for (int i = 0; i < 20; ++i) {
@@ -210,7 +210,7 @@
 
   static constexpr double kMsPerToken = 1 / 38.0;
   placement::PromptChain prompt_ = chain({{1, 4000}, {2, 500}});
-  std::vector<placement::ChainMemory> memories_;
+  std::vector<placement::KvCacheEstimate> memories_;
   std::vector<placement::EngineView> engines_;
 };
 
@@ -292,9 +292,9 @@
   }
 }
 
-TEST(SharingRouters, AreTakenHighAfterAStartAndAfterALoss) {
+TEST(RouterCountEstimate, AreTakenHighAfterAStartAndAfterALoss) {
   // Found on the bench: after a restart of 69 routers each took the whole fixed part of the bound on repeats.
-  delivery::SharingRouters routers(10s);
+  delivery::RouterCountEstimate routers(10s);
   EXPECT_GE(routers.count(), 1000U);
   routers.note(3, 1s);
   EXPECT_GE(routers.count(), 1000U);
@@ -330,7 +330,7 @@
 TEST_F(PartPlacementTest, TheStoreIsTheSourceWhenItHoldsMore) {
   prompt_ = chain({{1, 2000}, {2, 3000}, {3, 500}});
   allow_only(0);
-  placement::ChainMemory store;
+  placement::KvCacheEstimate store;
   memories_[1].note_held({1}, kWeights, 1s);
   store.note_held({1, 2}, kWeights, 1s);
   const placement::StoreView view{&store, {}};
@@ -357,10 +357,10 @@
   EXPECT_NE(place().target, home);
 }
 
-TEST(WindowBudget, BoundsRepeatsOverAnyWindow) {
-  delivery::WindowBudgetOptions options;
+TEST(RetryBudget, BoundsRepeatsOverAnyWindow) {
+  delivery::RetryBudgetOptions options;
   options.slack = 20;
-  delivery::WindowBudget budget(options);
+  delivery::RetryBudget budget(options);
   int taken = 0;
   for (int i = 0; i < 1000; ++i) {
     const TimePoint now(i * 5000);
--- a/tests/unit/fleet_knowledge_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -1,9 +1,9 @@
 /// What control members know of the running fleet, and how they and their routers come to know the same.
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 
 #include <gtest/gtest.h>
 
-#include "src/control/leader_confirmation.h"
+#include "src/control/leader_confirmation_tracker.h"
 
 namespace stoat {
 namespace {
@@ -11,8 +11,8 @@
 using control::FeedCursor;
 using control::FleetKnowledge;
 using fleet::BackendLoad;
-using fleet::FleetNews;
-using fleet::PeerNews;
+using fleet::FleetFeedUpdate;
+using fleet::PeerUpdate;
 
 constexpr size_t kEnough = 1000;
 
@@ -40,7 +40,7 @@
   size_t messages = 0;
   void update(const FleetKnowledge& knowledge) {
     for (;;) {
-      const FleetNews news = knowledge.next_news(cursor, TimePoint(0));
+      const FleetFeedUpdate news = knowledge.next_news(cursor, TimePoint(0));
       if (news.empty()) {
         return;
       }
@@ -51,7 +51,7 @@
       }
     }
   }
-  void apply(const FleetNews& news) {
+  void apply(const FleetFeedUpdate& news) {
     for (const fleet::BackendRecord& record : news.backends) {
       backends[record.id] = record;
     }
@@ -62,7 +62,7 @@
       loads[load.backend] = load;
     }
     for (const fleet::CacheChanges& changes : news.caches) {
-      for (const fleet::PartHolding& holding : changes.holdings) {
+      for (const fleet::CachedPart& holding : changes.holdings) {
         parts[changes.holder][holding.part] = holding.tokens;
       }
     }
@@ -125,7 +125,7 @@
   EXPECT_EQ(follower.backends.size(), 250U);
   EXPECT_GE(follower.messages, 3U);  // the whole comes in pieces
   first_.set_loading("e7", true);
-  const FleetNews news = first_.next_news(follower.cursor, now_);
+  const FleetFeedUpdate news = first_.next_news(follower.cursor, now_);
   EXPECT_FALSE(news.anew);
   ASSERT_EQ(news.backends.size(), 1U);
   EXPECT_TRUE(news.backends[0].loading);
@@ -291,7 +291,7 @@
   EXPECT_EQ(follower.parts["e1"][11], 100U);  // its routers know what was told before
   // What the first one tells under its old claim counts no more.
   EXPECT_FALSE(second_.caches().find("e1")->parts.count(12));
-  PeerNews late;
+  PeerUpdate late;
   late.sender = "10.0.0.1:7";
   late.caches = {held("e1", before[0].claim, 12)};
   second_.on_peer_news(late, later);
@@ -346,7 +346,7 @@
   first_.on_heartbeat(engine("e1"), now_);
   exchange();
   first_.on_heartbeat(engine("e1", 2), now_);
-  const PeerNews news = first_.take_peer_news(4, true, now_);
+  const PeerUpdate news = first_.take_peer_news(4, true, now_);
   EXPECT_TRUE(news.heartbeats.empty());
   ASSERT_EQ(news.marks.size(), 1U);
   const TimePoint later = now_ + 5s;
@@ -384,7 +384,7 @@
   started.on_heartbeat(engine("e1"), now_ + 500ms);
   started.expire(now_ + 500ms);
   Follower follower;
-  FleetNews news = started.next_news(follower.cursor, now_);
+  FleetFeedUpdate news = started.next_news(follower.cursor, now_);
   EXPECT_TRUE(news.anew);
   EXPECT_EQ(news.backends.size(), 1U);
   EXPECT_FALSE(news.complete);
@@ -403,8 +403,8 @@
   EXPECT_TRUE(first_.take_peer_news(1, true, now_).placements.empty());
 }
 
-TEST(CacheMirror, PartsOfOldWeightsDontHideThoseOfNewOnes) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, PartsOfOldWeightsDontHideThoseOfNewOnes) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "s:1";
   changes.claim = 1;
@@ -413,8 +413,8 @@
   EXPECT_EQ(mirror.whole("s:1").holdings.at(0).tokens, 100U);
 }
 
-TEST(CacheMirror, OfTwoFollowersWithOneClaimOneCounts) {
-  control::CacheMirror mirror;
+TEST(CacheIndex, OfTwoFollowersWithOneClaimOneCounts) {
+  control::CacheIndex mirror;
   fleet::CacheChanges changes;
   changes.holder = "e1";
   changes.claim = 3;
@@ -427,16 +427,16 @@
 TEST(RouterDirectory, ARouterThatItsMemberNoLongerHearsIsNotNamed) {
   control::RouterDirectory directory;
   directory.on_notice("m", {router("r1"), true}, 1s);
-  EXPECT_EQ(directory.for_callers("z1", kEnough, 1s).size(), 1U);
+  EXPECT_EQ(directory.select_for_callers("z1", kEnough, 1s).size(), 1U);
   directory.on_notice("m", {router("r1"), false}, 2s);
-  EXPECT_TRUE(directory.for_callers("z1", kEnough, 2s).empty());
+  EXPECT_TRUE(directory.select_for_callers("z1", kEnough, 2s).empty());
   directory.on_status(router("r1"), 3s);
   EXPECT_EQ(directory.ready_count(4s), 1U);
   EXPECT_EQ(directory.ready_count(20s), 0U);
 }
 
-TEST(LeaderQuestions, AgeCountsFromTheQuestion) {
-  control::LeaderQuestions questions;
+TEST(LeaderConfirmationTracker, AgeCountsFromTheQuestion) {
+  control::LeaderConfirmationTracker questions;
   const auto question = questions.ask(10s);
   questions.on_answer({question.number, 40, 7});
   ASSERT_TRUE(questions.newest());
--- a/tests/unit/forwarded_calls_test.cc
+++ b/tests/unit/forwarded_calls_test.cc
@@ -30,8 +30,8 @@
   calls.on_leader("a", 1s);
   calls.on_leader("", 2s);
   EXPECT_TRUE(calls.add(7, read_call(7), 2300ms));
-  EXPECT_TRUE(calls.leaderless(3s).empty());
-  EXPECT_EQ(calls.leaderless(3300ms), std::vector<uint64_t>{7});
+  EXPECT_TRUE(calls.expired_without_leader(3s).empty());
+  EXPECT_EQ(calls.expired_without_leader(3300ms), std::vector<uint64_t>{7});
 }
 
 TEST(ForwardedCalls, WithoutALeaderForLongerThanAnElectionCallsAreRefusedAtOnce) {
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -12,7 +12,7 @@
 using standins::send_step;
 using standins::wait_step;
 using standins::whole_answer;
-using test::count_of;
+using test::count_occurrences;
 using test::RawClient;
 using test::status_of;
 
@@ -254,7 +254,7 @@
   add_engine("e2", "models", other);
   const std::string answer = ask("POST", "/resume/", "q1", std::string(kChain) + "Content-Length: 0\r\n");
   for (int id = 1; id <= 3; ++id) {
-    EXPECT_EQ(count_of(answer, event(id)), 1U) << answer;
+    EXPECT_EQ(count_occurrences(answer, event(id)), 1U) << answer;
   }
   EXPECT_NE(answer.find("\r\n0\r\n\r\n"), std::string::npos);
 }
@@ -354,11 +354,11 @@
   // Another router, as control sees it.
   auto heard = std::make_shared<std::vector<fleet::ChainPlacement>>();
   auto greeted = std::make_shared<std::atomic<bool>>(false);
-  const auto channel = on_loop([&] {
+  const auto channel = run_on_router_loop([&] {
     auto opened = wire::Channel::connect(
         loop_, control_endpoint_,
         [heard, greeted](const std::shared_ptr<wire::Channel>&, const wire::Message& message) {
-          if (const auto* news = std::get_if<fleet::FleetNews>(&message.value)) {
+          if (const auto* news = std::get_if<fleet::FleetFeedUpdate>(&message.value)) {
             heard->insert(heard->end(), news->placements.begin(), news->placements.end());
           }
           *greeted = true;
@@ -377,7 +377,7 @@
   EXPECT_EQ(heard->front().holder, "e1");
   EXPECT_EQ(heard->front().weights, 1U);
   EXPECT_EQ(heard->front().links.size(), 1U);  // the last part is the request's own
-  on_loop([&] {
+  run_on_router_loop([&] {
     channel->close();
     return true;
   });
@@ -456,7 +456,7 @@
   ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q1")), "HTTP/1.1 200");
-  silence_control();
+  freeze_control();
   std::this_thread::sleep_for(std::chrono::milliseconds(4700));
   EXPECT_EQ(status_of(ask("GET", "/safe/", "q2")), "HTTP/1.1 503");
   EXPECT_EQ(status_of(ask("GET", "/open/", "q3")), "HTTP/1.1 200");
--- a/tests/unit/heartbeat_advice_test.cc
+++ b/tests/unit/heartbeat_advice_test.cc
@@ -9,7 +9,7 @@
  protected:
   struct Running {
     EventLoop loop;
-    test::NotedOrders orders;
+    test::RecordingEngineOrders orders;
     std::unique_ptr<control::FleetServer> server;
     std::thread thread;
     Running(const Endpoint& internal, const std::vector<Endpoint>& seeds, const std::string& folder) {
--- a/tests/unit/incarnation_test.cc
+++ b/tests/unit/incarnation_test.cc
@@ -71,7 +71,8 @@
   registry_.on_heartbeat(engine(kFirstStart, 40), 1s);
   registry_.on_heartbeat(engine(kSecondStart, 1), 2s);
   EXPECT_FALSE(registry_.on_heartbeat(engine(kFirstStart, 41), 3s));
-  EXPECT_EQ(registry_.on_mark(fleet::mark_key(first_), 42, 3s), fleet::MarkResult::kUnknown);
+  EXPECT_EQ(registry_.on_compact_heartbeat(fleet::backend_id_hash(first_), 42, 3s),
+            fleet::CompactHeartbeatResult::kUnknown);
   EXPECT_TRUE(registry_.on_heartbeat(engine(kSecondStart, 2), 4s));
   EXPECT_EQ(serving(), second_);
 }
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -5,8 +5,8 @@
 #include <deque>
 
 #include "src/common/hash.h"
-#include "src/control/fleet_knowledge.h"
-#include "src/control/peer_feeds.h"
+#include "src/control/fleet_soft_state.h"
+#include "src/control/peer_flow_control.h"
 #include "src/wire/channel.h"
 
 namespace stoat {
@@ -14,7 +14,7 @@
 
 using control::FeedCursor;
 using control::FleetKnowledge;
-using control::PeerFeeds;
+using control::PeerFlowControl;
 
 constexpr size_t kMembers = 5;
 constexpr size_t kEngines = 3000;
@@ -40,9 +40,9 @@
 
 /// A connection that takes so many bytes in a step.
 struct Connection {
-  std::deque<std::pair<size_t, fleet::PeerNews>> queue;
+  std::deque<std::pair<size_t, fleet::PeerUpdate>> queue;
   size_t unsent = 0;
-  void send(size_t bytes, const fleet::PeerNews& news) {
+  void send(size_t bytes, const fleet::PeerUpdate& news) {
     unsent += bytes;
     queue.emplace_back(bytes, news);
   }
@@ -52,7 +52,7 @@
   explicit Member(size_t number, TimePoint now)
       : knowledge({address_of(number), "zone-" + std::to_string(number), {}, {}, number + 1, now}) {}
   FleetKnowledge knowledge;
-  PeerFeeds feeds;
+  PeerFlowControl feeds;
   std::map<size_t, Connection> connections;  ///< by receiver
 };
 
@@ -72,7 +72,7 @@
     }
   }
   void exchange(Member& member) {
-    const fleet::PeerNews news = member.knowledge.take_peer_news(1, false, now_);
+    const fleet::PeerUpdate news = member.knowledge.take_peer_news(1, false, now_);
     const size_t bytes = wire::make_frame(news).bytes.size();
     for (size_t to = 0; to < kMembers; ++to) {
       if (members_[to].get() == &member) {
@@ -80,7 +80,7 @@
       }
       Connection& connection = member.connections[to];
       const bool lost = std::exchange(lose_next_, false);
-      if (member.feeds.takes_news(address_of(to), connection.unsent) && !lost) {
+      if (member.feeds.accepts_update(address_of(to), connection.unsent) && !lost) {
         connection.send(bytes, news);
         sent_bytes_ += bytes;
       }
@@ -90,11 +90,11 @@
     }
     for (size_t to = 0; to < kMembers; ++to) {
       Connection& connection = member.connections[to];
-      if (member.feeds.whole_due(address_of(to), connection.unsent, now_)) {
-        const fleet::PeerNews whole = member.knowledge.whole_for_peer(1, false, {}, now_);
+      if (member.feeds.full_state_due(address_of(to), connection.unsent, now_)) {
+        const fleet::PeerUpdate whole = member.knowledge.whole_for_peer(1, false, {}, now_);
         whole_bytes_ = wire::make_frame(whole).bytes.size();
         connection.send(whole_bytes_, whole);
-        member.feeds.on_whole_sent(address_of(to), whole_bytes_, now_);
+        member.feeds.on_full_state_sent(address_of(to), whole_bytes_, now_);
         sent_bytes_ += whole_bytes_;
         ++wholes_;
       }
@@ -151,7 +151,7 @@
   for (size_t i = 0; i < kStepsPerHeartbeat + 4; ++i) {
     run(1);
     for (size_t router = 0; router < kRouters; ++router) {
-      fleet::FleetNews news;
+      fleet::FleetFeedUpdate news;
       do {
         news = members_[router % kMembers]->knowledge.next_news(routers[router], now_);
         told[router] += news.backends.size();
--- a/tests/unit/load_admission_test.cc
+++ b/tests/unit/load_admission_test.cc
@@ -18,7 +18,7 @@
 namespace {
 
 using test::FakeEngine;
-using test::FakeRun;
+using test::FakeRequestTimes;
 
 constexpr Duration kObjective = 600ms;
 constexpr Duration kDeadline = 4s;
@@ -49,7 +49,8 @@
 /// those of the others as they were some time ago.
 class Replay {
  public:
-  Replay(size_t engines, std::vector<Kind> kinds, uint64_t seed, size_t routers = 1, LoadLimits limits = {})
+  Replay(size_t engines, std::vector<Kind> kinds, uint64_t seed, size_t routers = 1,
+         AdmissionThresholds limits = {})
       : kinds_(std::move(kinds)), random_(seed), limits_(limits), routers_(routers) {
     for (size_t engine = 0; engine < engines; ++engine) {
       engines_.emplace_back(kSlots, kTokensPerMs);
@@ -146,14 +147,14 @@
       taken += queue.own_outstanding + queue.others_outstanding;
       if (from_ms(forecast.wait_ms()) < best.wait) {
         best.wait = from_ms(forecast.wait_ms());
-        best.answer = from_ms(forecast.reading_ms + forecast.base_ms);
+        best.answer = from_ms(forecast.prefill_ms + forecast.base_ms);
       }
     }
     best.long_answer = from_ms(speed_.long_answer_ms());
     best.taken_share = taken / static_cast<double>(kSlots * engines_.size());
     return best;
   }
-  Verdict ask(Router& router, const Waiting& request) {
+  AdmissionVerdict ask(Router& router, const Waiting& request) {
     return decide(request.times, outlook(router, request.tokens), limits_, now());
   }
   void arrive(Router& router, size_t kind) {
@@ -162,11 +163,11 @@
     request->kind = kind;
     request->times = {now(), now() + kinds_[kind].deadline};
     request->tokens = std::min(random_.exponential(kinds_[kind].tokens), 10 * kinds_[kind].tokens);
-    speed_.note_answer(speed_.idle_ms(static_cast<uint64_t>(request->tokens)));
-    const Verdict verdict = ask(router, *request);
-    if (verdict == Verdict::kRefuse) {
+    speed_.record_expected_answer(speed_.idle_ms(static_cast<uint64_t>(request->tokens)));
+    const AdmissionVerdict verdict = ask(router, *request);
+    if (verdict == AdmissionVerdict::kRefuse) {
       refuse(router, *request);
-    } else if (verdict == Verdict::kSend && router.queue.nothing_before(kinds_[kind].urgency)) {
+    } else if (verdict == AdmissionVerdict::kSend && router.queue.none_as_urgent(kinds_[kind].urgency)) {
       send(router, *request);
     } else {
       hold(router, request);
@@ -176,7 +177,9 @@
     const Kind& kind = kinds_[request->kind];
     const QueuedRequest queued{kind.tenant, kind.urgency, request->times.deadline,
                                kind.answer_ms + request->tokens / kTokensPerMs};
-    const auto has_room = [this, &router, request] { return ask(router, *request) == Verdict::kSend; };
+    const auto has_room = [this, &router, request] {
+      return ask(router, *request) == AdmissionVerdict::kSend;
+    };
     const auto leave = [this, &router, request] {
       router.waiting.erase(request->number);
       send(router, *request);
@@ -191,7 +194,8 @@
       if (now() >= wait_limit(request->times, limits_)) {
         router.queue.leave(number);
         router.waiting.erase(number);
-        ask(router, *request) == Verdict::kRefuse ? refuse(router, *request) : send(router, *request);
+        ask(router, *request) == AdmissionVerdict::kRefuse ? refuse(router, *request)
+                                                           : send(router, *request);
       }
     }
   }
@@ -214,7 +218,7 @@
       best_ms = std::min(wait_ms, best_ms);
     }
     const double answer_ms = random_.exponential(kinds_[request.kind].answer_ms);
-    const FakeRun run = engines_[best].take(now_ms_, request.tokens, answer_ms);
+    const FakeRequestTimes run = engines_[best].take(now_ms_, request.tokens, answer_ms);
     router.own[best].insert(run.end_ms);
     const Duration took = from_ms(run.first_event_ms) - request.times.arrived;
     served.answered += took <= kinds_[request.kind].deadline ? 1 : 0;
@@ -223,7 +227,7 @@
 
   std::vector<Kind> kinds_;
   Random random_;
-  LoadLimits limits_;
+  AdmissionThresholds limits_;
   double now_ms_ = 0;
   std::vector<FakeEngine> engines_;
   placement::ServiceSpeed speed_;
@@ -252,7 +256,7 @@
   for (const Served& served : all) {
     EXPECT_GE(served.answered + served.refused + static_cast<int>(replay.still_waiting()),
               served.asked * 0.97);
-    EXPECT_LE(served.longest_hold, LoadLimits{}.longest_wait + 1ms);
+    EXPECT_LE(served.longest_hold, AdmissionThresholds{}.longest_wait + 1ms);
     EXPECT_EQ(served.refused_early, 0);
     EXPECT_GT(served.answered, served.asked * 0.4);
   }
@@ -263,8 +267,8 @@
 /// Forty routers, none of which knows what the others have just sent, at all that twelve engines can take.
 TEST(LoadReplay, RoutersThatKnowLittleLoseNothingByWaiting) {
   const std::vector<Kind> kinds = {{"t1", 0, 28, 3720, 250}, {"t2", 1, 672, 291, 250}};
-  LoadLimits never_wait;
-  never_wait.useful_queue = Duration::max();
+  AdmissionThresholds never_wait;
+  never_wait.max_useful_engine_queue = Duration::max();
   const auto sent = Replay(12, kinds, 2, 40, never_wait).play(10000);
   const auto waited = Replay(12, kinds, 2, 40).play(10000);
   for (size_t kind = 0; kind < kinds.size(); ++kind) {
@@ -288,20 +292,20 @@
 
 TEST(LoadAdmission, RefusesOnlyWhatCanNotBeServedBeforeItsDeadline) {
   const RequestTimes request{TimePoint(0), kDeadline};
-  const LoadLimits limits;
-  EXPECT_EQ(decide(request, {3s, 900ms, 50ms, 2.0}, limits, 10ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {3s, 1100ms, 50ms, 2.0}, limits, 10ms), Verdict::kRefuse);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 380ms, 2.0}, limits, 10ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 2.0}, limits, 10ms), Verdict::kRefuse);
-  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 0.49}, limits, 10ms), Verdict::kSend);
-  EXPECT_EQ(decide(request, {150ms, 250ms, 50ms, 2.0}, limits, 10ms), Verdict::kSend);
+  const AdmissionThresholds limits;
+  EXPECT_EQ(decide(request, {3s, 900ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {3s, 1100ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kRefuse);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 380ms, 2.0}, limits, 10ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 2.0}, limits, 10ms), AdmissionVerdict::kRefuse);
+  EXPECT_EQ(decide(request, {3600ms, 20ms, 400ms, 0.49}, limits, 10ms), AdmissionVerdict::kSend);
+  EXPECT_EQ(decide(request, {150ms, 250ms, 50ms, 2.0}, limits, 10ms), AdmissionVerdict::kSend);
 }
 
 TEST(LoadAdmission, HoldsForOneRoundOfNewsAtTheMost) {
   const RequestTimes request{TimePoint(0), kDeadline};
-  const LoadLimits limits;
-  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 99ms), Verdict::kWait);
-  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 100ms), Verdict::kSend);
+  const AdmissionThresholds limits;
+  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 99ms), AdmissionVerdict::kWait);
+  EXPECT_EQ(decide(request, {1s, 200ms, 50ms, 1.5}, limits, 100ms), AdmissionVerdict::kSend);
   EXPECT_EQ(wait_limit({TimePoint(0), 60ms}, limits), TimePoint(60ms)) << "never beyond its deadline";
 }
 
@@ -331,17 +335,17 @@
   push("idle-tenant", {"b", 3, 1s, 10});
   push("urgent-late", {"a", 0, 9s, 1000});
   push("urgent-soon", {"a", 0, 2s, 1000});
-  EXPECT_FALSE(queue_.nothing_before(3));
+  EXPECT_FALSE(queue_.none_as_urgent(3));
   EXPECT_EQ(send(1), "urgent-soon ");
   push("urgent-new", {"a", 0, 1s, 1000});
   EXPECT_EQ(send(3), "urgent-new urgent-late idle-tenant ");
-  EXPECT_TRUE(queue_.nothing_before(9));
+  EXPECT_TRUE(queue_.none_as_urgent(9));
 }
 
 TEST_F(RequestQueueTest, WhatWaitsIsLessUrgentThanANewRequest) {
   push("low", {"a", 4, 1s, 10});
-  EXPECT_TRUE(queue_.nothing_before(3));
-  EXPECT_FALSE(queue_.nothing_before(4));
+  EXPECT_TRUE(queue_.none_as_urgent(3));
+  EXPECT_FALSE(queue_.none_as_urgent(4));
 }
 
 TEST_F(RequestQueueTest, TenantsTakeTurnsBySlotTimeAndNotByCount) {
--- a/tests/unit/load_gateway_test.cc
+++ b/tests/unit/load_gateway_test.cc
@@ -37,14 +37,14 @@
     ASSERT_TRUE(wait_for([&] { return engine.requests().size() >= count; }));
   }
   std::string metrics() {
-    return on_loop([this] { return router_->metrics().to_text(); });
+    return run_on_router_loop([this] { return router_->metrics().to_text(); });
   }
   std::vector<std::unique_ptr<RawClient>> callers_;
 };
 
 Script answer_after(const SeenRequest& seen, int milliseconds) {
   return {wait_step(std::chrono::milliseconds(milliseconds)),
-          send_step(whole_answer(200, test::own_headers(seen), "body"))};
+          send_step(whole_answer(200, test::engine_headers(seen), "body"))};
 }
 
 TEST_F(LoadGatewayTest, ARequestWaitsForASlotAndIsThenSent) {
--- a/tests/unit/logging_test.cc
+++ b/tests/unit/logging_test.cc
@@ -8,8 +8,8 @@
 #include "src/common/log_line.h"
 #include "src/common/log_writer.h"
 #include "src/events/fleet_events.h"
+#include "src/events/request_event_log.h"
 #include "src/events/request_events.h"
-#include "src/events/request_story.h"
 
 namespace stoat {
 namespace {
@@ -18,7 +18,7 @@
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000123));
   line.part = "router";
-  line.sentence = "request ended";
+  line.log_message = "request ended";
   line.fields = {{"request", "q1"}, {"outcome", "no back end"}, {"status", 503}};
   return line;
 }
@@ -39,36 +39,36 @@
   EXPECT_EQ(read->time, line.time);
   EXPECT_EQ(read->level, line.level);
   EXPECT_EQ(read->part, line.part);
-  EXPECT_EQ(read->sentence, line.sentence);
+  EXPECT_EQ(read->log_message, line.log_message);
   EXPECT_EQ(read->fields, line.fields);
 }
 
 TEST(LogLine, EachTypedEventIsReadBack) {
   const auto check = [](const auto& event) {
     LogLine line = sample();
-    line.sentence = event.kSentence;
+    line.log_message = event.kMessage;
     line.fields = event.fields();
     const auto read = parse_log_line(to_text(line));
     ASSERT_TRUE(read.has_value()) << read.error();
-    EXPECT_EQ(read->sentence, event.kSentence);
+    EXPECT_EQ(read->log_message, event.kMessage);
     EXPECT_EQ(read->fields, line.fields);
   };
   check(events::RequestAccepted{"r", "s", "t", 3, 500, 10});
-  check(events::RequestWaits{3, 2, 1});
+  check(events::RequestWaitingForBackend{3, 2, 1});
   check(events::RequestSent{});
   check(events::RequestNotRun{"b", 503});
   check(events::ExchangeFailed{"b", "broken off", true, false});
-  check(events::NotSentAgain{"no budget for repeats"});
-  check(events::CopyNotUsed{"b", "weights changed", 2});
+  check(events::RequestNotRetried{"no budget for repeats"});
+  check(events::KvCacheCopyNotUsed{"b", "weights changed", 2});
   check(events::RequestEnded{});
-  check(events::RequestTurnedAway{503, "no route", 2, -4, "t1"});
+  check(events::RequestRejected{503, "no route", 2, -4, "t1"});
   check(events::ConfigurationInForce{1, 2, 3});
-  check(events::WeightsNamed{"m", 2, 3});
+  check(events::TargetWeightsChanged{"m", 2, 3});
   check(events::BackendChanged{"b", "s", "a", "silent", 2});
   check(events::KeyLeaseChanged{true, 3});
   check(events::ControlMemberChanged{"a", false, 3});
   check(events::LeaderChanged{"", "b"});
-  check(events::StoreChanged{"", "b"});
+  check(events::KvCacheStoreChanged{"", "b"});
   check(events::RouterChanged{"r", "ready", 3});
   check(events::MembersChanged{3, 1, "a,(b)"});
 }
@@ -141,11 +141,11 @@
     result.sample_one_in = 4;
     return result;
   }
-  events::StoryBook book_{Logger("test"), options()};
+  events::RequestLogSampler book_{Logger("test"), options()};
 };
 
 TEST_F(StoryBookTest, TakesTheSameSampleEverywhere) {
-  events::StoryBook other{Logger("other"), options()};
+  events::RequestLogSampler other{Logger("other"), options()};
   int sampled = 0;
   for (int i = 0; i < 1000; ++i) {
     const std::string id = "q" + std::to_string(i);
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -1,7 +1,7 @@
 /// Quotas at one router and at its control member, over the real messages.
 #include <gtest/gtest.h>
 
-#include "src/control/fleet_knowledge.h"
+#include "src/control/fleet_soft_state.h"
 #include "tests/support/small_fleet.h"
 
 namespace stoat {
@@ -64,16 +64,16 @@
   return tenant;
 }
 
-TEST(QuotaGate, ASendThatDidNotRunGivesItsPartBack) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, ASendThatDidNotRunGivesItsPartBack) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   EXPECT_TRUE(gate.admit("t", 300, TimePoint(1s)).admitted);
   gate.give_back("t", 300, TimePoint(1s));
-  EXPECT_TRUE(gate.take_untold().spending.empty());
+  EXPECT_TRUE(gate.take_unreported().spending.empty());
 }
 
-TEST(QuotaGate, ALevelHoldsForAsLongAsControlTellsAnythingAtAll) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, ALevelHoldsForAsLongAsControlTellsAnythingAtAll) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   gate.on_level({"t", -5, true});
   gate.on_news(1s);
@@ -82,23 +82,23 @@
   EXPECT_TRUE(gate.admit("t", 10, 5s).admitted) << "alone it has its part of the rate";
 }
 
-TEST(QuotaGate, TellsAgainWhatWasNotConfirmedBeforeAnotherMemberTookOver) {
-  admission::QuotaGate gate({}, 1);
+TEST(QuotaEnforcer, TellsAgainWhatWasNotConfirmedBeforeAnotherMemberTookOver) {
+  admission::QuotaEnforcer gate({}, 1);
   gate.configure({limited_tenant()});
   gate.admit("t", 100, TimePoint(1s));
-  const auto first = gate.take_untold();
+  const auto first = gate.take_unreported();
   gate.admit("t", 30, TimePoint(1s));
-  gate.take_untold();
+  gate.take_unreported();
   gate.confirm(first.number);
-  gate.begin_feed();
-  const auto again = gate.take_untold();
+  gate.on_member_change();
+  const auto again = gate.take_unreported();
   ASSERT_EQ(again.spending.size(), 1U);
   EXPECT_EQ(again.spending.front().amount, 30);
 }
 
-TEST(QuotaBook, AMemberThatMissedNewsIsRightAgainWithTheNext) {
-  admission::QuotaBook first({}, 1, TimePoint(0));
-  admission::QuotaBook second({}, 2, TimePoint(0));
+TEST(QuotaLedger, AMemberThatMissedNewsIsRightAgainWithTheNext) {
+  admission::QuotaLedger first({}, 1, TimePoint(0));
+  admission::QuotaLedger second({}, 2, TimePoint(0));
   const TimePoint now = 20s;
   for (auto* book : {&first, &second}) {
     book->configure({limited_tenant()}, now);
@@ -145,7 +145,7 @@
   }
 
   static constexpr TimePoint kChange = 20s;
-  admission::QuotaBook book_;
+  admission::QuotaLedger book_;
   TimePoint now_{0};
 };
 
--- a/tests/unit/region_placement_test.cc
+++ b/tests/unit/region_placement_test.cc
@@ -1,8 +1,8 @@
 // What placement makes of regions: moves of KV cache, homes of prompts, and calls without a prompt.
 #include <gtest/gtest.h>
 
-#include "src/placement/part_placement.h"
-#include "src/placement/plain_placement.h"
+#include "src/placement/nearest_placement.h"
+#include "src/placement/prompt_placement.h"
 
 namespace stoat::placement {
 namespace {
@@ -20,7 +20,7 @@
 }
 
 TEST(MoveCostsTest, AMoveTakesWhatTheLinkTellsTwiceBetweenZonesTenTimesBetweenRegions) {
-  const MoveCosts costs = move_costs(large_model(), nullptr);
+  const MoveCosts costs = make_transfer_costs(large_model(), nullptr);
   constexpr double kNearMs = 47.7;  // 10,000 tokens of 327,680 bytes over 550 Gbit/s
   EXPECT_NEAR(costs.engine_ms(10000, Distance::kSameZone), costs.setup_ms + kNearMs, 0.1);
   EXPECT_NEAR(costs.engine_ms(10000, Distance::kSameRegion), costs.setup_ms + 2 * kNearMs, 0.1);
@@ -28,7 +28,7 @@
 }
 
 TEST(MoveCostsTest, BetweenRegionsToReadIsShorter) {
-  const MoveCosts costs = move_costs(large_model(), nullptr);
+  const MoveCosts costs = make_transfer_costs(large_model(), nullptr);
   constexpr double kReadingMs = 0.02;
   EXPECT_TRUE(costs.engine_pays(10000, Distance::kSameRegion, kReadingMs));
   EXPECT_FALSE(costs.engine_pays(10000, Distance::kOtherRegion, kReadingMs));
@@ -38,17 +38,17 @@
 TEST(MoveCostsTest, AStoreCountsWithItsOwnLink) {
   fleet::Service store;
   store.store_link_mbps = 950000;
-  const MoveCosts costs = move_costs(large_model(), &store);
+  const MoveCosts costs = make_transfer_costs(large_model(), &store);
   constexpr double kReadingMs = 0.02;
-  EXPECT_TRUE(costs.store_pays(10000, Distance::kSameRegion, kReadingMs));
-  EXPECT_FALSE(costs.store_pays(10000, Distance::kOtherRegion, kReadingMs));
+  EXPECT_TRUE(costs.worth_taking_from_store(10000, Distance::kSameRegion, kReadingMs));
+  EXPECT_FALSE(costs.worth_taking_from_store(10000, Distance::kOtherRegion, kReadingMs));
 }
 
 TEST(MoveCostsTest, WhereNothingIsToldMovesAreTakenToPay) {
-  const MoveCosts costs = move_costs({}, nullptr);
+  const MoveCosts costs = make_transfer_costs({}, nullptr);
   EXPECT_DOUBLE_EQ(costs.ms_per_token, MoveCosts{}.ms_per_token);
   EXPECT_TRUE(costs.engine_pays(10000, Distance::kOtherRegion, 0.02));
-  EXPECT_TRUE(costs.store_pays(10000, Distance::kOtherRegion, 0.02));
+  EXPECT_TRUE(costs.worth_taking_from_store(10000, Distance::kOtherRegion, 0.02));
 }
 
 /// Two regions of four engines each, two to a zone; the router is in the first zone.
@@ -67,7 +67,7 @@
       engine.place = {position / 2 + 1, position / 4 + 1};
       engine.distance = topology::distance(engines_[0].place, engine.place);
     }
-    costs_.moves = move_costs(large_model(), nullptr);
+    costs_.moves = make_transfer_costs(large_model(), nullptr);
   }
   static bool near(size_t position) { return position < kEngines / 2; }
   static PromptChain prompt(uint64_t part, uint32_t shared, uint32_t own) {
@@ -90,7 +90,7 @@
     return part;
   }
 
-  std::vector<ChainMemory> memories_;
+  std::vector<KvCacheEstimate> memories_;
   std::vector<EngineView> engines_;
   PlacementCosts costs_;
 };
@@ -144,15 +144,15 @@
   allow_only(0);
   fleet::Service service;
   service.store_link_mbps = 950000;
-  costs_.moves = move_costs(large_model(), &service);
-  ChainMemory held;
+  costs_.moves = make_transfer_costs(large_model(), &service);
+  KvCacheEstimate held;
   held.note_held({1}, kWeights, 1s);
   const StoreView far{&held, engines_[6].place};
   const StoreView close{&held, engines_[3].place};
   const PromptChain chain = prompt(1, 13000, 500);
-  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).store_pays);
+  EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).worth_taking_from_store);
   EXPECT_FALSE(placement::place(chain, engines_, &far, costs_, 1s).from_store);
-  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).store_pays);
+  EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).worth_taking_from_store);
   EXPECT_TRUE(placement::place(chain, engines_, &close, costs_, 1s).from_store);
 }
 
@@ -182,8 +182,8 @@
   EXPECT_FALSE(near(place(prompt(1, 13000, 500)).target));
 }
 
-TEST(WorkTimeTest, FollowsTheAnswers) {
-  WorkTime work;
+TEST(CallDurationTest, FollowsTheAnswers) {
+  CallDuration work;
   for (int answer = 0; answer < 200; ++answer) {
     work.observe(200);
   }
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -135,7 +135,7 @@
 
 TEST_F(RestingBackendTest, ABackEndThatSaysInAnAnswerThatItLeavesGetsNoFurtherRequests) {
   ScriptedEngine leaving([](const SeenRequest& seen) -> Script {
-    return {send_step(whole_answer(200, test::own_headers(seen) + "X-Leaving: 1\r\n", "body"))};
+    return {send_step(whole_answer(200, test::engine_headers(seen) + "X-Leaving: 1\r\n", "body"))};
   });
   ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
   add_engine("leaving", "calls", leaving);
--- a/tests/unit/return_schedule_test.cc
+++ b/tests/unit/retry_scheduler_test.cc
@@ -1,5 +1,5 @@
 /// When refused callers come back: the rate, the order of deadlines, and callers that do not wait.
-#include "src/admission/return_schedule.h"
+#include "src/admission/retry_scheduler.h"
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 
 constexpr Duration kLongest = 10s;
 
-TEST(ReturnSchedule, CallersComeBackAtTheRateThatCanBeServed) {
-  ReturnSchedule schedule(kLongest);
+TEST(RetryScheduler, CallersComeBackAtTheRateThatCanBeServed) {
+  RetryScheduler schedule(kLongest);
   Random random(1);
   constexpr double kPerSecond = 20;
   std::vector<int> returns(12);
@@ -27,8 +27,8 @@
   }
 }
 
-TEST(ReturnSchedule, LessTimeLeftMeansASoonerReturn) {
-  ReturnSchedule schedule(kLongest);
+TEST(RetryScheduler, LessTimeLeftMeansASoonerReturn) {
+  RetryScheduler schedule(kLongest);
   Random random(2);
   double soon = 0;
   double late = 0;
@@ -40,8 +40,8 @@
   EXPECT_LT(soon * 2, late);
 }
 
-TEST(ReturnSchedule, ALineIsServedAsTimePasses) {
-  ReturnSchedule schedule(kLongest);
+TEST(RetryScheduler, ALineIsServedAsTimePasses) {
+  RetryScheduler schedule(kLongest);
   Random random(3);
   for (int caller = 0; caller < 50; ++caller) {
     schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(0));
@@ -50,8 +50,8 @@
   EXPECT_LT(schedule.book({"t", 6s, 0ms}, 10, random, TimePoint(6s)), 200ms);
 }
 
-TEST(ReturnSchedule, NobodyWaitsLongerThanTheBound) {
-  ReturnSchedule schedule(kLongest);
+TEST(RetryScheduler, NobodyWaitsLongerThanTheBound) {
+  RetryScheduler schedule(kLongest);
   Random random(4);
   for (int caller = 0; caller < 5000; ++caller) {
     EXPECT_LE(schedule.book({"t", 6s, 20s}, 0, random, TimePoint(0)), kLongest);
@@ -111,7 +111,7 @@
   }
 
   bool abuse_;
-  ReturnSchedule schedule_{kLongest};
+  RetryScheduler schedule_{kLongest};
   Random random_{5};
   std::priority_queue<Attempt, std::vector<Attempt>, std::greater<>> attempts_;
   double room_ = 0;
@@ -120,7 +120,7 @@
   int served_ = 0;
 };
 
-TEST(ReturnSchedule, CallersThatRepeatAtOnceDoNotPushTheOthersOut) {
+TEST(RetryScheduler, CallersThatRepeatAtOnceDoNotPushTheOthersOut) {
   const double without = RetryReplay(false).play();
   const double with_abuse = RetryReplay(true).play();
   EXPECT_GT(with_abuse, 0.9 * without) << without;
--- a/tests/unit/rollout_fleet_test.cc
+++ b/tests/unit/rollout_fleet_test.cc
@@ -143,7 +143,7 @@
   prepare();
   start_callers();
   ASSERT_EQ(order("v2"), control::ResultCode::kOk);
-  EXPECT_EQ(order("v3"), control::ResultCode::kUnderWay);
+  EXPECT_EQ(order("v3"), control::ResultCode::kRolloutInProgress);
   start_engine("v2", 2);
   start_engine("v2", 2);
   const int64_t took = wait_for_phase(fleet::RolloutPhase::kRolledBack);
--- a/tests/unit/rollout_members_test.cc
+++ b/tests/unit/rollout_members_test.cc
@@ -49,7 +49,8 @@
 TEST_F(RolloutMembersTest, TwoOperatorsAtTwoMembersOneOrderIsTaken) {
   prepare();
   ASSERT_TRUE(order(1, "v2", kLongMs));
-  EXPECT_TRUE(eventually([&] { return members_[2]->order_rollout("v3", kLongMs) == ResultCode::kUnderWay; }));
+  EXPECT_TRUE(eventually(
+      [&] { return members_[2]->order_rollout("v3", kLongMs) == ResultCode::kRolloutInProgress; }));
   EXPECT_TRUE(order(2, "v2", kLongMs))
       << "the same order at another member, as when its acknowledgement was lost";
   EXPECT_TRUE(shows(0, "v2", RolloutPhase::kWaiting));
--- a/tests/unit/rollout_planner_test.cc
+++ b/tests/unit/rollout_planner_test.cc
@@ -68,29 +68,29 @@
 
 TEST_F(PlannerTest, ABadVersionGoesBackAlsoFromTheSwitch) {
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 3s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 3s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kRollingBack));
   view_.all_applied = false;
-  EXPECT_FALSE(next(RolloutPhase::kReturning, 4s));
+  EXPECT_FALSE(next(RolloutPhase::kRollingBack, 4s));
   view_.all_applied = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kReturning, 4s, RolloutPhase::kRolledBack));
+  EXPECT_TRUE(leads_to(RolloutPhase::kRollingBack, 4s, RolloutPhase::kRolledBack));
 }
 
 TEST_F(PlannerTest, BackEndsThatNeverComeOrAreTooFewGoBackBeforeTheDeadline) {
   view_.target_ready = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 11s, RolloutPhase::kRollingBack));
   view_.target_ready = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s)) << "more may come";
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, AVersionThatWasNotSeenOrIsInDoubtGoesBack) {
   view_.judgement.answers = 3;
   EXPECT_FALSE(next(RolloutPhase::kTrial, 8s));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
   view_.judgement.answers = 200;
   view_.judgement.doubt = 0.7;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 11s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, WhenAllOthersHaveGoneAVersionThatWasSeenTakesOver) {
@@ -100,20 +100,20 @@
   view_.others_gone = 2s;
   EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kSwitching));
   view_.judgement.bad = true;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kReturning)) << "a bad one does not";
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 5s, RolloutPhase::kRollingBack)) << "a bad one does not";
 }
 
 TEST_F(PlannerTest, AServiceThatTheConfigurationDropsGoesBack) {
   view_.service_known = false;
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 2s, RolloutPhase::kReturning));
-  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 2s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 2s, RolloutPhase::kRollingBack));
+  EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 9s, RolloutPhase::kRollingBack));
 }
 
 TEST_F(PlannerTest, ALeaderThatComesAfterTheDeadlineEndsIt) {
-  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kWaiting, 30s, RolloutPhase::kRollingBack));
   view_.judgement.answers = 0;
-  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 30s, RolloutPhase::kReturning));
+  EXPECT_TRUE(leads_to(RolloutPhase::kTrial, 30s, RolloutPhase::kRollingBack));
   view_.all_applied = true;
   EXPECT_TRUE(leads_to(RolloutPhase::kSwitching, 30s, RolloutPhase::kCompleted));
 }
--- a/tests/unit/router_directory_test.cc
+++ b/tests/unit/router_directory_test.cc
@@ -51,11 +51,11 @@
 
 TEST_F(TwoRegionsTest, CallersAreToldRoutersOfTheirZoneAndAFewOfTheRegion) {
   for (const auto& [zone, count] : sizes_) {
-    const Routers told = directory_.for_callers(zone, kLimit, 2s);
+    const Routers told = directory_.select_for_callers(zone, kLimit, 2s);
     EXPECT_EQ(count_in(told, topology::Distance::kOtherRegion, zone), 0U) << zone;
     EXPECT_GE(count_in(told, topology::Distance::kSameRegion, zone), kReserveRouters) << zone;
     EXPECT_LE(count_in(told, topology::Distance::kSameRegion, zone), kReserveRouters + 1) << zone;
-    EXPECT_EQ(told, directory_.for_callers(zone, kLimit, 3s))
+    EXPECT_EQ(told, directory_.select_for_callers(zone, kLimit, 3s))
         << "callers leave a router that is not told again";
   }
 }
@@ -63,7 +63,7 @@
 TEST_F(TwoRegionsTest, EachRouterHasTheCallersOfOneZoneAndTheZonesHaveEquallyMany) {
   std::set<std::string> named;
   for (const auto& [zone, count] : sizes_) {
-    const Routers told = directory_.for_callers(zone, kLimit, 2s);
+    const Routers told = directory_.select_for_callers(zone, kLimit, 2s);
     EXPECT_GE(told.size(), 9U) << zone;
     EXPECT_LE(told.size(), 10U) << zone;
     for (const fleet::RouterRecord& router : told) {
@@ -74,36 +74,37 @@
 }
 
 TEST_F(TwoRegionsTest, AfterTheLossOfAZoneItsCallersReachOthersAtOnceAndThenAllOfTheRegion) {
-  const Routers before = directory_.for_callers("s-a", kLimit, 1s);
+  const Routers before = directory_.select_for_callers("s-a", kLimit, 1s);
   EXPECT_GE(before.size() - count_in(before, topology::Distance::kSameZone, "s-a"), kReserveRouters);
   tell_again({"s-a"}, 3400ms);
-  const Routers after = directory_.for_callers("s-a", kLimit, 3600ms);
+  const Routers after = directory_.select_for_callers("s-a", kLimit, 3600ms);
   EXPECT_EQ(after.size(), 18U);  // all that are left of the region
   EXPECT_EQ(count_in(after, topology::Distance::kOtherRegion, "s-a"), 0U);
   // Callers of the others stay where they are.
-  EXPECT_EQ(directory_.for_callers("c-a", kLimit, 3600ms), directory_.for_callers("c-a", kLimit, 1s));
+  EXPECT_EQ(directory_.select_for_callers("c-a", kLimit, 3600ms),
+            directory_.select_for_callers("c-a", kLimit, 1s));
 }
 
 TEST_F(TwoRegionsTest, TheOtherRegionIsToldOnlyWhenTheOwnHasNone) {
   tell_again({"s-a", "s-b", "s-c"}, 3400ms);
   tell("s-c", 3, true, 3400ms);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3600ms).size(), 1U);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3600ms).size(), 1U);
   tell("s-c", 3, false, 3400ms);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3600ms).size(), 30U);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3600ms).size(), 30U);
 }
 
 TEST_F(TwoRegionsTest, ARouterThatRestartsMovesNoOthers) {
-  const Routers before = directory_.for_callers("s-a", kLimit, 1s);
+  const Routers before = directory_.select_for_callers("s-a", kLimit, 1s);
   directory_.forget(before.front().name);
   Routers left(before.begin() + 1, before.end());
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 2s), left);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 2s), left);
   directory_.on_status(before.front(), 3s);
-  EXPECT_EQ(directory_.for_callers("s-a", kLimit, 3s), before);
+  EXPECT_EQ(directory_.select_for_callers("s-a", kLimit, 3s), before);
 }
 
 TEST_F(TwoRegionsTest, CallersOfAnUnknownPlaceAreToldAll) {
-  EXPECT_EQ(directory_.for_callers("elsewhere", kLimit, 2s).size(), 58U);
-  EXPECT_EQ(directory_.for_callers("", kLimit, 2s).size(), 58U);
+  EXPECT_EQ(directory_.select_for_callers("elsewhere", kLimit, 2s).size(), 58U);
+  EXPECT_EQ(directory_.select_for_callers("", kLimit, 2s).size(), 58U);
 }
 
 TEST(RouterDirectoryTest, WithFewRoutersAZoneCallersAreToldAll) {
@@ -111,7 +112,7 @@
   for (const char* name : {"a1", "a2", "a3", "b1", "b2", "c1", "c2"}) {
     directory.on_status({name, std::string(name) + ":80", std::string(1, name[0]), "r", true}, 1s);
   }
-  EXPECT_EQ(directory.for_callers("a", kLimit, 2s).size(), 7U);
+  EXPECT_EQ(directory.select_for_callers("a", kLimit, 2s).size(), 7U);
 }
 
 TEST(RouterDirectoryTest, InALargeRegionNoRouterIsLeftWithoutCallersAndMostCallersStayInTheirZone) {
@@ -123,8 +124,8 @@
   std::map<std::string, int> named;
   for (int number = 0; number < 5; ++number) {
     const std::string zone = "z" + std::to_string(number);
-    const Routers told = directory.for_callers(zone, kLimit, 1s);
-    EXPECT_EQ(told, directory.for_callers(zone, kLimit, 2s));
+    const Routers told = directory.select_for_callers(zone, kLimit, 1s);
+    EXPECT_EQ(told, directory.select_for_callers(zone, kLimit, 2s));
     EXPECT_EQ(told.size(), 60U);
     size_t near = 0;
     for (const fleet::RouterRecord& router : told) {
@@ -142,7 +143,7 @@
     const std::string name = "r" + std::to_string(number);
     directory.on_status({name, name + ":80", "z" + std::to_string(number % 2), "r", true}, 1s);
   }
-  const Routers told = directory.for_callers("z1", kLimit, 1s);
+  const Routers told = directory.select_for_callers("z1", kLimit, 1s);
   EXPECT_EQ(told.size(), kLimit);
   EXPECT_TRUE(std::all_of(told.begin(), told.end(), [](const auto& router) { return router.zone == "z1"; }));
 }
--- a/tests/unit/service_rollout_test.cc
+++ b/tests/unit/service_rollout_test.cc
@@ -5,7 +5,7 @@
 #include "platform/names.h"
 #include "src/control/fleet_bodies.h"
 #include "src/control/state_machine.h"
-#include "src/rollout/answer_book.h"
+#include "src/rollout/answer_aggregator.h"
 #include "src/rollout/router_confirmations.h"
 #include "src/rollout/service_versions.h"
 #include "tests/support/rollouts.h"
@@ -48,7 +48,7 @@
 
 TEST_F(RolloutStateTest, AnotherVersionIsRefusedWhileOneIsUnderWay) {
   EXPECT_EQ(order("v2"), ResultCode::kOk);
-  EXPECT_EQ(order("v3"), ResultCode::kUnderWay);
+  EXPECT_EQ(order("v3"), ResultCode::kRolloutInProgress);
   EXPECT_EQ(rollout().target_version, "v2");
 }
 
@@ -82,9 +82,9 @@
   order("v2");
   const fleet::StepServiceRollout late{"s", rollout().id, rollout().step, RolloutPhase::kTrial, 0.07, false,
                                        ""};
-  step(RolloutPhase::kReturning, 0);
+  step(RolloutPhase::kRollingBack, 0);
   state_.apply(late);
-  EXPECT_EQ(rollout().phase, RolloutPhase::kReturning) << "a former leader's step came after the new one's";
+  EXPECT_EQ(rollout().phase, RolloutPhase::kRollingBack) << "a former leader's step came after the new one's";
   step(RolloutPhase::kRolledBack, 0);
   step(RolloutPhase::kTrial, 0.07);
   EXPECT_EQ(rollout().phase, RolloutPhase::kRolledBack) << "it is final";
@@ -121,7 +121,7 @@
   rollout.target_version = "v2";
   EXPECT_EQ(control::rollout_body(rollout, platform::body_names()),
             R"({"state":"running","target_version":"v2"})");
-  rollout.phase = RolloutPhase::kReturning;
+  rollout.phase = RolloutPhase::kRollingBack;
   EXPECT_EQ(control::rollout_body(rollout, platform::body_names()),
             R"({"state":"running","target_version":"v2"})");
   rollout.phase = RolloutPhase::kRolledBack;
@@ -180,9 +180,9 @@
 
 TEST(ServiceVersions, AnOlderStepThatComesLateChangesNothing) {
   rollout::ServiceVersions versions;
-  EXPECT_TRUE(versions.take({make_rollout(RolloutPhase::kReturning, 3)}));
+  EXPECT_TRUE(versions.take({make_rollout(RolloutPhase::kRollingBack, 3)}));
   EXPECT_FALSE(versions.take({make_rollout(RolloutPhase::kTrial, 2)}));
-  EXPECT_EQ(versions.find("s")->phase, RolloutPhase::kReturning);
+  EXPECT_EQ(versions.find("s")->phase, RolloutPhase::kRollingBack);
 }
 
 TEST(ServiceVersions, TheSharesOfAllRoutesAddUpToTheShare) {
@@ -190,10 +190,11 @@
   for (const auto& mix : mixes) {
     double sum = 0;
     for (const double part : mix) {
-      sum += part * rollout::share_of_route(0.07, part, mix.size());
+      sum += part * rollout::trial_share_of_route(0.07, part, mix.size());
     }
     EXPECT_LE(sum, 0.07 + 1e-9);
-    EXPECT_GT(rollout::share_of_route(0.07, mix.back(), mix.size()), 0.0699) << "rare routes are seen too";
+    EXPECT_GT(rollout::trial_share_of_route(0.07, mix.back(), mix.size()), 0.0699)
+        << "rare routes are seen too";
   }
 }
 
@@ -204,34 +205,34 @@
     ids.push_back("i-" + std::to_string(index));
   }
   const ServiceRollout rollout = make_rollout(RolloutPhase::kTrial);
-  const auto sample = rollout::sample_of(ids, rollout);
+  const auto sample = rollout::sampled_backends(ids, rollout);
   EXPECT_EQ(sample.size(), 4U);  // 0.07 of 45, rounded up
   std::reverse(ids.begin(), ids.end());
-  EXPECT_EQ(rollout::sample_of(ids, rollout), sample);
+  EXPECT_EQ(rollout::sampled_backends(ids, rollout), sample);
   ServiceRollout spread = rollout;
   spread.spread = true;
-  EXPECT_EQ(rollout::sample_of(ids, spread).size(), 45U);
+  EXPECT_EQ(rollout::sampled_backends(ids, spread).size(), 45U);
 }
 
 fleet::AnswerKey key_of(bool target, const std::string& engine = "") { return {5, target, engine, "r", 0}; }
 
 TEST(AnswerCounts, ASendThatNeverArrivedIsNoneOfTheOthersAndALeftAnswerIsSlowOnlyWhenItWas) {
   rollout::AnswerCounter counter;
-  rollout::CountedSend send;
+  rollout::CountedRequest send;
   send.key = key_of(false);
   send.objective = 500ms;
   counter.begin(send, 1s);
-  counter.end(send, rollout::SendEnd::kNotRun, 2s);
+  counter.end(send, rollout::SendOutcome::kNotRun, 2s);
   EXPECT_FALSE(counter.has_changes());
   counter.begin(send, 1s);
-  counter.end(send, rollout::SendEnd::kAbandoned, 1200ms);
+  counter.end(send, rollout::SendOutcome::kAbandoned, 1200ms);
   const auto early = counter.take_changes();
   ASSERT_EQ(early.size(), 1U);
   EXPECT_EQ(early[0].sums.sent, 1U);
-  EXPECT_EQ(early[0].sums.times[rollout::time_bucket(200ms)], 0U);
+  EXPECT_EQ(early[0].sums.times[rollout::latency_bucket(200ms)], 0U);
   counter.begin(send, 1s);
-  counter.end(send, rollout::SendEnd::kAbandoned, 3s);
-  EXPECT_EQ(counter.take_changes()[0].sums.times[rollout::time_bucket(2s)], 1U);
+  counter.end(send, rollout::SendOutcome::kAbandoned, 3s);
+  EXPECT_EQ(counter.take_changes()[0].sums.times[rollout::latency_bucket(2s)], 1U);
 }
 
 class AnswerBookTest : public ::testing::Test {
@@ -246,17 +247,17 @@
     fleet::RouterLoads message;
     message.router = "r1";
     message.start_id = start;
-    message.answers_anew = anew;
+    message.answers_are_complete = anew;
     if (sent > 0) {
       message.answers = {count(sent)};
     }
     return message;
   }
-  uint64_t total(const rollout::AnswerBook& book) const {
+  uint64_t total(const rollout::AnswerAggregator& book) const {
     const auto found = book.totals().find(key_of(true, "e"));
     return found == book.totals().end() ? 0 : found->second.sent;
   }
-  rollout::AnswerBook book_;
+  rollout::AnswerAggregator book_;
 };
 
 TEST_F(AnswerBookTest, ALaterMessageMakesUpForALostOne) {
@@ -296,22 +297,23 @@
   rollout::RouterConfirmations confirmations(5s);
   confirmations.note("r1", {{5, 3, 0, 2}}, 10s);
   confirmations.note("r2", {{5, 2, 4, 0}}, 10s);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 10s).all_applied);
+  EXPECT_FALSE(confirmations.confirmation_of(5, 3, 10s).all_applied);
   confirmations.note("r2", {{5, 3, 1, 0}}, 10s);
-  EXPECT_TRUE(confirmations.word_on(5, 3, 10s).all_applied);
-  EXPECT_EQ(confirmations.word_on(5, 3, 10s).others_running, 1U);
+  EXPECT_TRUE(confirmations.confirmation_of(5, 3, 10s).all_applied);
+  EXPECT_EQ(confirmations.confirmation_of(5, 3, 10s).others_running, 1U);
   confirmations.note("r3", {}, 10s);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 10s).all_applied) << "one that has just started";
+  EXPECT_FALSE(confirmations.confirmation_of(5, 3, 10s).all_applied) << "one that has just started";
 }
 
 TEST(RouterConfirmations, ARouterThatIsGoneOrHonoursNoKeysAnyMoreIsNotWaitedFor) {
   rollout::RouterConfirmations confirmations(5s);
   confirmations.note("r1", {{5, 2, 4, 0}}, 10s);
   confirmations.note("r2", {{5, 2, 4, 0}}, 14s);
-  confirmations.note_closed("r2", 14s);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 14500ms).all_applied);
-  EXPECT_FALSE(confirmations.word_on(5, 3, 14900ms).all_applied) << "r1 is out of touch but may serve";
-  EXPECT_TRUE(confirmations.word_on(5, 3, 15500ms).all_applied);
+  confirmations.on_connection_closed("r2", 14s);
+  EXPECT_FALSE(confirmations.confirmation_of(5, 3, 14500ms).all_applied);
+  EXPECT_FALSE(confirmations.confirmation_of(5, 3, 14900ms).all_applied)
+      << "r1 is out of touch but may serve";
+  EXPECT_TRUE(confirmations.confirmation_of(5, 3, 15500ms).all_applied);
 }
 
 }  // namespace
--- a/tests/unit/slow_readers_test.cc
+++ b/tests/unit/slow_readers_test.cc
@@ -23,7 +23,7 @@
 class StreamingHandler : public edge::RequestHandler {
  public:
   explicit StreamingHandler(EventLoop& loop) : loop_(loop) {}
-  void on_request(edge::CallerRequest request, std::shared_ptr<edge::CallerAnswer> answer) override {
+  void on_request(edge::EdgeRequest request, std::shared_ptr<edge::ResponseWriter> answer) override {
     if (request.target == "/whole") {
       answer->reply({}, std::string(kAnswerBytes, 'x'));
       return;
@@ -44,7 +44,7 @@
     answer_->start({});
     pump();
   }
-  void on_gone(const edge::CallerAnswer*, edge::CallerEnd end) override {
+  void on_gone(const edge::ResponseWriter*, edge::CallerEnd end) override {
     stalled += end == edge::CallerEnd::kStalled ? 1 : 0;
     ++gone;
     answer_ = nullptr;
@@ -67,7 +67,7 @@
     }
   }
   EventLoop& loop_;
-  std::shared_ptr<edge::CallerAnswer> answer_;
+  std::shared_ptr<edge::ResponseWriter> answer_;
   size_t sent_ = 0;
   bool paused_ = false;
 };
@@ -129,11 +129,11 @@
   for (int rest = 0; rest < 4; ++rest) {
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     received += client.read_all(std::chrono::milliseconds(50)).size();
-    client.forget_input();
+    client.discard_input();
   }
   while (!client.closed() && received < kAnswerBytes) {
     received += client.read_until("\r\n0\r\n\r\n", std::chrono::milliseconds(200)).size();
-    client.forget_input();
+    client.discard_input();
   }
   EXPECT_GE(received, kAnswerBytes);
   EXPECT_EQ(handler_.gone, 0);
@@ -148,7 +148,7 @@
   for (int rest = 0; rest < 6; ++rest) {
     std::this_thread::sleep_for(std::chrono::milliseconds(600));
     received += client.read_all(std::chrono::milliseconds(1)).size();
-    client.forget_input();
+    client.discard_input();
   }
   received += client.read_all(std::chrono::seconds(10)).size();
   EXPECT_GE(received, kAnswerBytes);
--- a/tests/unit/starting_router_test.cc
+++ b/tests/unit/starting_router_test.cc
@@ -11,9 +11,9 @@
 using test::status_of;
 
 TEST(StartQueue, GivesBackInOrderAndForgetsCallersWhoLeft) {
-  struct SilentAnswer : edge::CallerAnswer {
-    void reply(const edge::AnswerHead&, std::string_view) override {}
-    void start(const edge::AnswerHead&) override {}
+  struct SilentAnswer : edge::ResponseWriter {
+    void reply(const edge::ResponseHead&, std::string_view) override {}
+    void start(const edge::ResponseHead&) override {}
     void send(std::string_view) override {}
     void finish() override {}
     void abort() override {}
@@ -21,7 +21,7 @@
     void set_flow_handler(FlowHandler) override {}
   };
   gateway::StartQueue queue;
-  std::vector<std::shared_ptr<edge::CallerAnswer>> answers;
+  std::vector<std::shared_ptr<edge::ResponseWriter>> answers;
   for (int number = 0; number < 4; ++number) {
     answers.push_back(std::make_shared<SilentAnswer>());
     gateway::WaitingRequest waiting{{}, answers.back(), TimePoint(0), TimePoint(100ms * (4 - number))};
--- a/tests/unit/state_machine_test.cc
+++ b/tests/unit/state_machine_test.cc
@@ -26,7 +26,7 @@
   StateMachine second;
   for (StateMachine* state : {&first, &second}) {
     state->apply(put(1, "one"));
-    state->apply(fleet::NameWeights{"m", 4});
+    state->apply(fleet::SetTargetWeights{"m", 4});
     state->apply(fleet::RetireBackend{"b", fleet::BackendState::kDraining});
   }
   EXPECT_EQ(first.save(), second.save());
@@ -35,7 +35,7 @@
 TEST(StateMachine, ASnapshotHoldsTheWholeState) {
   StateMachine state;
   state.apply(put(3, "three"));
-  state.apply(fleet::NameWeights{"m", 4});
+  state.apply(fleet::SetTargetWeights{"m", 4});
   state.apply(fleet::RetireBackend{"b", fleet::BackendState::kGone});
   StateMachine restored;
   ASSERT_TRUE(restored.load(state.save()));
--- a/tests/unit/suspended_machine_test.cc
+++ b/tests/unit/suspended_machine_test.cc
@@ -41,7 +41,7 @@
   standins::ScriptedEngine engine([](const standins::SeenRequest& seen) { return test::succeed(seen); });
   add_engine("engine", "calls", engine);
   EXPECT_EQ(status_of(ask("GET", "/safe/", "before")), "HTTP/1.1 200");
-  silence_control();
+  freeze_control();
   suspended_s = kLongSuspension;
   EXPECT_EQ(status_of(ask("GET", "/safe/", "after")), "HTTP/1.1 503");
   EXPECT_EQ(engine.requests().size(), 1U);
--- a/tests/unit/traffic_test.cc
+++ b/tests/unit/traffic_test.cc
@@ -21,7 +21,7 @@
 }
 
 TEST(Traffic, NewsAreDividedByPurposeAndAddUpToTheFrame) {
-  fleet::PeerNews news;
+  fleet::PeerUpdate news;
   news.sender = "10.0.0.1:7";
   news.heartbeats = {engine("e1"), engine("e2")};
   news.loads = {{"e1", 3, 100}};
@@ -35,7 +35,7 @@
 }
 
 TEST(Traffic, AWholeCountsAsOne) {
-  fleet::PeerNews news;
+  fleet::PeerUpdate news;
   news.anew = true;
   news.heartbeats = {engine("e1")};
   const wire::Frame frame = wire::make_frame(news);
@@ -43,7 +43,7 @@
 }
 
 TEST(Traffic, TheFeedOfARouterIsDividedToo) {
-  fleet::FleetNews news;
+  fleet::FleetFeedUpdate news;
   news.backends = {engine("e1")};
   news.loads = {{"e1", 3, 100}};
   news.quotas = {{"t1", 5, true}};
--- a/tests/unit/weight_rollout_test.cc
+++ b/tests/unit/weight_rollout_test.cc
@@ -29,7 +29,7 @@
 }
 
 /// Notes versions as named now, unless they are known.
-void name(fleet::NamedWeights& named, const std::map<std::string, uint64_t>& weights, TimePoint now) {
+void name(fleet::TargetWeights& named, const std::map<std::string, uint64_t>& weights, TimePoint now) {
   for (const auto& [model, version] : weights) {
     named[model].note(version, now);
   }
@@ -43,7 +43,7 @@
   }
   std::vector<fleet::BackendRecord> engines_;
   std::map<std::string, uint64_t> weights_ = {{"m", 2}};
-  fleet::NamedWeights named_;
+  fleet::TargetWeights named_;
   WeightRollout rollout_{RolloutOptions{}};
 };
 
@@ -124,7 +124,7 @@
   RolloutOptions options;
   options.start_delay = 2s;
   const std::vector<fleet::BackendRecord> engines = {engine("a", 1)};
-  fleet::NamedWeights named;
+  fleet::TargetWeights named;
   name(named, {{"m", 2}}, 5s);
   WeightRollout next_leader(options);
   EXPECT_EQ(ids(next_leader.plan(engines, named, 8s), Kind::kAnnounce).size(), 1U);
@@ -135,7 +135,7 @@
   options.start_delay = 2s;
   WeightRollout rollout(options);
   const std::vector<fleet::BackendRecord> engines = {engine("a", 1)};
-  fleet::NamedWeights named;
+  fleet::TargetWeights named;
   const auto plan = [&](uint64_t version, TimePoint now) {
     name(named, {{"m", version}}, now);
     return rollout.plan(engines, named, now);
