--- a/simulation/control_faults.cc
+++ b/simulation/control_faults.cc
@@ -99,8 +99,8 @@
       cut_link(position, random_.below(members_.size()));
       break;
     case 5:
-      network_.faults.loss = random_.unit() * 0.3;
-      network_.faults.duplication = random_.unit() * 0.2;
+      network_.faults.loss = random_.uniform_real() * 0.3;
+      network_.faults.duplication = random_.uniform_real() * 0.2;
       network_.faults.max_delay = Duration(random_.between(1000, 120000));
       break;
     case 6:
--- a/simulation/control_simulation.cc
+++ b/simulation/control_simulation.cc
@@ -68,7 +68,8 @@
     }
     network_.send(members_[from]->name(), members_[to]->name(), [this, to, message] {
       // The replica itself drops messages that are addressed to an earlier identity of the member.
-      members_[to]->run([message](control::ControlCore& core, TimePoint now) { core.on_peer(message, now); });
+      members_[to]->run(
+          [message](control::ControlCore& core, TimePoint now) { core.on_peer_message(message, now); });
     });
   }
 }
--- a/standins/backend_server.cc
+++ b/standins/backend_server.cc
@@ -203,7 +203,7 @@
 }
 
 void BackendServer::send_next_token(const std::shared_ptr<Stream>& stream) {
-  if (stream->exchange->gone()) {
+  if (stream->exchange->disconnected()) {
     --running_;
     return;
   }
@@ -220,7 +220,7 @@
 
 void BackendServer::handle_order(const http::ExchangePtr& exchange) {
   const json body = json::parse(exchange->body(), nullptr, false);
-  const control::JsonFieldNames& names = interface_.bodies;
+  const control::JsonFieldNames& names = interface_.field_names;
   const bool matches = body.is_object() && body.value(names.operation, "") == names.load_weights &&
                        body.value("model", "") == settings_.model;
   if (!matches || exchange->header(interface_.expected_backend_header) != id_) {
@@ -273,8 +273,8 @@
         {event.number, event.tokens > 0 ? "+" : "-", event.salt, event.part, event.tokens, settings_.model});
   }
   const json answer = {{"epoch", epoch_},
-                       {interface_.bodies.next_event, cache_.last_event()},
-                       {interface_.bodies.gap, !cache_.has_all_events_after(since)},
+                       {interface_.field_names.next_event, cache_.last_event()},
+                       {interface_.field_names.gap, !cache_.has_all_events_after(since)},
                        {"events", events}};
   exchange->reply(kOk, kJson, answer.dump());
 }
--- a/tests/simulation/control_scenarios_test.cc
+++ b/tests/simulation/control_scenarios_test.cc
@@ -71,7 +71,7 @@
   simulation_.member(paused).resume();
   // Call the resumed member directly, while it may still consider itself the leader.
   simulation_.member(paused).run([](control::ControlCore& core, TimePoint now) {
-    core.call(999999, make_configuration(1, "of the paused leader"), now);
+    core.propose_command(999999, make_configuration(1, "of the paused leader"), now);
   });
   simulation_.run_for(3s);
   for (size_t position = 0; position < simulation_.member_count(); ++position) {
@@ -287,7 +287,7 @@
   const size_t leader = wait_for_leader();
   expect_put(1);
   simulation_.member(leader).run(
-      [](control::ControlCore& core, TimePoint now) { core.replica().hand_over(now); });
+      [](control::ControlCore& core, TimePoint now) { core.replica().transfer_leadership(now); });
   const TimePoint requested_at = simulation_.events().now();
   wait_for_leader_other_than(leader);
   EXPECT_LT(simulation_.events().now() - requested_at, Duration(200ms))
