--- a/standins/scripted_engine.cc
+++ b/standins/scripted_engine.cc
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-std::string SeenRequest::header(const std::string& name) const {
+std::string ReceivedRequest::header(const std::string& name) const {
   const std::string lower_head = lower_case(head);
   const std::string key = "\r\n" + lower_case(name) + ":";
   const size_t start = lower_head.find(key);
@@ -52,7 +52,7 @@
   return head.substr(begin, head.find("\r\n", begin) - begin);
 }
 
-std::string whole_answer(int status, const std::string& headers, const std::string& body) {
+std::string full_response(int status, const std::string& headers, const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -87,7 +87,7 @@
   stopping_ = true;
 }
 
-std::vector<SeenRequest> ScriptedEngine::requests() const {
+std::vector<ReceivedRequest> ScriptedEngine::requests() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return requests_;
 }
@@ -124,7 +124,7 @@
     input.append(bytes, static_cast<size_t>(count));
     for (size_t end = input.find("\r\n\r\n"); open && end != std::string::npos;
          end = input.find("\r\n\r\n")) {
-      SeenRequest request;
+      ReceivedRequest request;
       request.head = input.substr(0, end + 2);
       request.connection = connection;
       const std::string length_text = request.header("Content-Length");
--- a/standins/scripted_engine.h
+++ b/standins/scripted_engine.h
@@ -14,7 +14,7 @@
 namespace stoat::standins {
 
 /// A request as received.
-struct SeenRequest {
+struct ReceivedRequest {
   std::string head;  ///< request line and headers, each with its CR LF, without the empty line
   std::string body;
   size_t connection = 0;  ///< number of the connection it came on, from 1
@@ -45,20 +45,20 @@
 inline ScriptStep reset_step() { return {ScriptStep::Kind::kReset, "", {}}; }
 
 /// A complete HTTP response with a Content-Length header. Each line in `headers` must end in CR LF.
-std::string whole_answer(int status, const std::string& headers, const std::string& body);
+std::string full_response(int status, const std::string& headers, const std::string& body);
 
 /// Listens on a free loopback port and serves each connection in a thread of its own. The handler returns the
 /// script for each request. Throws std::runtime_error if it cannot listen.
 class ScriptedEngine {
  public:
-  using Handler = std::function<Script(const SeenRequest&)>;
+  using Handler = std::function<Script(const ReceivedRequest&)>;
   explicit ScriptedEngine(Handler handler);
   ~ScriptedEngine();
   ScriptedEngine(const ScriptedEngine&) = delete;
   ScriptedEngine& operator=(const ScriptedEngine&) = delete;
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  std::vector<SeenRequest> requests() const;
+  std::vector<ReceivedRequest> requests() const;
   /// Stops listening and closes all connections.
   void crash();
   /// Whether crash() was called or a script reached kCrash.
@@ -78,7 +78,7 @@
   std::atomic<bool> crashed_{false};
   std::atomic<size_t> closed_by_peer_{0};
   mutable std::mutex mutex_;
-  std::vector<SeenRequest> requests_;
+  std::vector<ReceivedRequest> requests_;
   std::vector<int> sockets_;
   std::vector<std::thread> threads_;
   std::thread acceptor_;
--- a/tests/process/backend_limit_test.cc
+++ b/tests/process/backend_limit_test.cc
@@ -1,11 +1,11 @@
 /// Real processes: three routers, and two back ends of which one states a rate limit. The limit must hold
 /// while the leader of the control plane is killed and a router is restarted.
-#include "tests/process/served_programs.h"
+#include "tests/process/fleet_process_test.h"
 
 namespace stoat::tools {
 namespace {
 
-class BackendLimitProcessTest : public ServedPrograms {
+class BackendLimitProcessTest : public FleetProcessTest {
  protected:
   static constexpr double kLimit = 2;  ///< requests a second
 
@@ -13,7 +13,7 @@
     options_.routers = 3;
     options_.limited_services = 1;
     options_.rate_limit = kLimit;
-    ServedPrograms::SetUp();
+    FleetProcessTest::SetUp();
   }
 };
 
@@ -25,7 +25,7 @@
                                             {6s, [&] { processes_->start(leader); }},
                                             {8s, [&] { processes_->kill("router-3"); }},
                                             {9s, [&] { processes_->start("router-3"); }}});
-  expect_promises(records);
+  expect_guarantees(records);
   const size_t runs = fleet_->runs_at("service-1").size();
   // Requests that the routers send before all of them know the limit, within some 200 ms of the first
   // response.
--- a/tests/process/crashing_request_test.cc
+++ b/tests/process/crashing_request_test.cc
@@ -1,18 +1,18 @@
 /// Real processes: three routers, and back ends that crash under one request. The number of crashes must stay
 /// bounded while the leader of the control plane is killed.
 #include "src/http/blocking.h"
-#include "tests/process/served_programs.h"
+#include "tests/process/fleet_process_test.h"
 
 namespace stoat::tools {
 namespace {
 
-class CrashingRequestProcessTest : public ServedPrograms {
+class CrashingRequestProcessTest : public FleetProcessTest {
  protected:
   void SetUp() override {
     options_.routers = 3;
     options_.services = 6;
     options_.crash_on = "crash";
-    ServedPrograms::SetUp();
+    FleetProcessTest::SetUp();
   }
   /// Sends a request that must not be executed twice to the router chosen by `number`, and returns the
   /// response status.
--- a/tests/process/served_programs_test.cc
+++ b/tests/process/fleet_process_test.cc
@@ -1,11 +1,11 @@
 /// The programs as real processes on loopback with simulated backends: traffic, killed processes, and
 /// operator commands.
-#include "tests/process/served_programs.h"
+#include "tests/process/fleet_process_test.h"
 
 namespace stoat::tools {
 namespace {
 
-TEST_F(ServedPrograms, OneMemberFoundsTheFleetEvenIfAllShareAnAddress) {
+TEST_F(FleetProcessTest, OneMemberFoundsTheFleetEvenIfAllShareAnAddress) {
   const auto founders_logged = [this] {
     size_t count = 0;
     for (const std::string& name : fleet_->names_of("control")) {
@@ -13,14 +13,14 @@
     }
     return count;
   };
-  EXPECT_TRUE(ServedFleet::wait_until([&] { return founders_logged() > 0; }, 5s));
+  EXPECT_TRUE(LoopbackFleet::wait_until([&] { return founders_logged() > 0; }, 5s));
   sleep_for(1500ms);  // logs are flushed every second
   EXPECT_EQ(founders_logged(), 1U);
 }
 
-TEST_F(ServedPrograms, AllRequestsCompleteAndSharedPromptPartsAreCached) {
+TEST_F(FleetProcessTest, AllRequestsCompleteAndSharedPromptPartsAreCached) {
   const std::vector<RequestRecord> records = send(4s);
-  expect_promises(records);
+  expect_guarantees(records);
   EXPECT_EQ(complete(records), records.size());
   uint64_t cached = 0;
   uint64_t tokens = 0;
@@ -31,28 +31,28 @@
   EXPECT_GT(cached * 2, tokens) << "at most half of the prompt tokens were cached";
 }
 
-TEST_F(ServedPrograms, GuaranteesHoldWhenAnEngineAndAServiceAreKilled) {
+TEST_F(FleetProcessTest, GuaranteesHoldWhenAnEngineAndAServiceAreKilled) {
   const std::vector<RequestRecord> records = send(
       6s, {{2s, [this] { processes_->kill("engine-1"); }}, {3s, [this] { processes_->kill("service-1"); }}});
-  expect_promises(records);
+  expect_guarantees(records);
   EXPECT_GT(complete(records) * 10, records.size() * 9) << "at least one in ten requests did not complete";
 }
 
-TEST_F(ServedPrograms, GuaranteesHoldWhenARouterIsKilledAndRestarted) {
+TEST_F(FleetProcessTest, GuaranteesHoldWhenARouterIsKilledAndRestarted) {
   const std::vector<RequestRecord> records = send(
       6s, {{2s, [this] { processes_->kill("router-1"); }}, {3s, [this] { processes_->start("router-1"); }}});
-  expect_promises(records);
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->has_registered(2, 5); }, 10s));
+  expect_guarantees(records);
+  EXPECT_TRUE(LoopbackFleet::wait_until([this] { return fleet_->has_registered(2, 5); }, 10s));
   const std::vector<RequestRecord> later = send(2s);
-  expect_promises(later);
+  expect_guarantees(later);
   EXPECT_EQ(complete(later), later.size());
 }
 
-TEST_F(ServedPrograms, KillingTheLeaderStopsNoRequestsAndLosesNoConfiguration) {
+TEST_F(FleetProcessTest, KillingTheLeaderStopsNoRequestsAndLosesNoConfiguration) {
   ASSERT_TRUE(fleet_->put_configuration(configuration_of_version(2)));
   const std::string killed = fleet_->leader();
   const std::vector<RequestRecord> records = send(6s, {{1s, [&] { processes_->kill(killed); }}});
-  expect_promises(records);
+  expect_guarantees(records);
   EXPECT_EQ(complete(records), records.size()) << "requests must not depend on a single control member";
   ASSERT_TRUE(fleet_->put_configuration(configuration_of_version(3)));
   processes_->start(killed);
@@ -61,10 +61,10 @@
   EXPECT_EQ(read.text, configuration_of_version(3));
 }
 
-TEST_F(ServedPrograms, NewWeightsAreLoadedUnderTraffic) {
+TEST_F(FleetProcessTest, NewWeightsAreLoadedUnderTraffic) {
   ASSERT_EQ(stoatctl("weights demo-model 2").status, 0);
   const std::vector<RequestRecord> records = send(3s);
-  expect_promises(records);
+  expect_guarantees(records);
   const auto all_engines_updated = [this] {
     size_t count = 0;
     for (const nlohmann::json& backend :
@@ -73,10 +73,10 @@
     }
     return count == 3;
   };
-  EXPECT_TRUE(ServedFleet::wait_until(all_engines_updated, 20s)) << fleet_->status_of_leader().dump(1);
+  EXPECT_TRUE(LoopbackFleet::wait_until(all_engines_updated, 20s)) << fleet_->status_of_leader().dump(1);
 }
 
-TEST_F(ServedPrograms, StoatctlReportsStatusAndErrors) {
+TEST_F(FleetProcessTest, StoatctlReportsStatusAndErrors) {
   const CommandOutput status = stoatctl("status");
   EXPECT_EQ(status.status, 0) << status.text;
   EXPECT_NE(status.text.find("router-2"), std::string::npos) << status.text;
@@ -92,7 +92,7 @@
   EXPECT_EQ(stoatctl("dance").status, 2);
   const std::string backend = fleet_->status_of_leader()["backends"][0]["id"];
   EXPECT_EQ(stoatctl("backend remove " + backend).status, 0);
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return fleet_->has_registered(2, 4); }, 5s));
+  EXPECT_TRUE(LoopbackFleet::wait_until([this] { return fleet_->has_registered(2, 4); }, 5s));
 }
 
 TEST(Programs, GuaranteesHoldUnderSeededFaults) {
--- a/tests/process/served_programs.h
+++ b/tests/process/fleet_process_test.h
@@ -9,7 +9,7 @@
 #include <memory>
 
 #include "tests/support/paths.h"
-#include "tools/served_fleet.h"
+#include "tools/loopback_fleet.h"
 
 namespace stoat::tools {
 
@@ -39,8 +39,8 @@
   return document.dump();
 }
 
-/// Starts a ServedFleet for each test. The work folder, with the logs, is kept if the test fails.
-class ServedPrograms : public testing::Test {
+/// Starts a LoopbackFleet for each test. The work folder, with the logs, is kept if the test fails.
+class FleetProcessTest : public testing::Test {
  protected:
   void SetUp() override {
     const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
@@ -49,7 +49,7 @@
             .string();
     processes_ = std::make_unique<ProcessFleet>(test::program_directory(), work_folder_);
     options_.configuration_file = demo_configuration();
-    fleet_ = std::make_unique<ServedFleet>(*processes_, options_);
+    fleet_ = std::make_unique<LoopbackFleet>(*processes_, options_);
     fleet_->start();
   }
   void TearDown() override {
@@ -65,7 +65,7 @@
     return run_load(fleet_->target(), classes_, plan_requests(classes_, 40, duration, ++seed_), actions);
   }
 
-  void expect_promises(const std::vector<RequestRecord>& records) {
+  void expect_guarantees(const std::vector<RequestRecord>& records) {
     for (const std::string& violation : check_guarantees(classes_, records, fleet_->runs())) {
       ADD_FAILURE() << violation << "; logs in " << work_folder_;
     }
@@ -86,12 +86,12 @@
     return run_command(test::program_directory() + "/stoatctl --control " + members + " " + arguments);
   }
 
-  ServedFleetOptions options_;  ///< derived fixtures change them before ServedPrograms::SetUp()
+  LoopbackFleetOptions options_;  ///< derived fixtures change them before FleetProcessTest::SetUp()
   std::vector<RequestClass> classes_ = demo_classes();
   std::string work_folder_;
   uint64_t seed_ = 0;
   std::unique_ptr<ProcessFleet> processes_;
-  std::unique_ptr<ServedFleet> fleet_;
+  std::unique_ptr<LoopbackFleet> fleet_;
 };
 
 }  // namespace stoat::tools
--- a/tests/process/service_rollout_test.cc
+++ b/tests/process/service_rollout_test.cc
@@ -1,20 +1,20 @@
 /// Rollouts of a plain service with real processes, while callers send requests.
 #include <fstream>
 
-#include "tests/process/served_programs.h"
+#include "tests/process/fleet_process_test.h"
 
 namespace stoat::tools {
 namespace {
 
-class ServiceRolloutTest : public ServedPrograms {
+class ServiceRolloutTest : public FleetProcessTest {
  protected:
   void SetUp() override {
     options_.software = "v1";
-    ServedPrograms::SetUp();
+    FleetProcessTest::SetUp();
   }
   void start_new_version(uint32_t fails_each) {
-    fleet_->start_service("service-new-1", "v2", fails_each);
-    fleet_->start_service("service-new-2", "v2", fails_each);
+    fleet_->start_service_backend("service-new-1", "v2", fails_each);
+    fleet_->start_service_backend("service-new-2", "v2", fails_each);
   }
   std::string state() {
     const nlohmann::json page = nlohmann::json::parse(stoatctl("rollout status search").text, nullptr, false);
@@ -33,14 +33,14 @@
   const std::string killed = fleet_->leader();
   const std::vector<RequestRecord> records =
       send(13s, {{3s, [&] { processes_->kill(killed); }}, {5s, [&] { processes_->start(killed); }}});
-  expect_promises(records);
+  expect_guarantees(records);
   EXPECT_EQ(complete(records), records.size()) << "a rollout must not lose requests";
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return state() == "completed"; }, 3s)) << state();
+  EXPECT_TRUE(LoopbackFleet::wait_until([this] { return state() == "completed"; }, 3s)) << state();
   // The old backends are stopped without draining.
   processes_->kill("service-1");
   processes_->kill("service-2");
   const std::vector<RequestRecord> later = send(2s);
-  expect_promises(later);
+  expect_guarantees(later);
   EXPECT_EQ(complete(later), later.size());
 }
 
@@ -48,7 +48,7 @@
   start_new_version(2);
   ASSERT_EQ(stoatctl("rollout start search v2 12").status, 0);
   const std::vector<RequestRecord> records = send(11s);
-  EXPECT_TRUE(ServedFleet::wait_until([this] { return state() == "rolled_back"; }, 3s)) << state();
+  EXPECT_TRUE(LoopbackFleet::wait_until([this] { return state() == "rolled_back"; }, 3s)) << state();
   const size_t tried = runs_at("service-new-1") + runs_at("service-new-2");
   EXPECT_GT(tried, 0U) << "the version got no requests";
   constexpr size_t kAllowed = 50;
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -84,13 +84,13 @@
 }
 
 /// Returns the headers that identify a response as the backend's own response to a request.
-inline std::string engine_headers(const standins::SeenRequest& request) {
+inline std::string engine_headers(const standins::ReceivedRequest& request) {
   return "X-Request-Id: " + request.header("X-Request-Id") + "\r\nX-Answer-Signature: s\r\n";
 }
 
 /// Returns a script that answers a request with status 200.
-inline standins::Script succeed(const standins::SeenRequest& request, const std::string& body = "body") {
-  return {standins::send_step(standins::whole_answer(200, engine_headers(request), body))};
+inline standins::Script succeed(const standins::ReceivedRequest& request, const std::string& body = "body") {
+  return {standins::send_step(standins::full_response(200, engine_headers(request), body))};
 }
 
 /// Returns the protocol version and status code of a response, such as "HTTP/1.1 200".
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -19,11 +19,11 @@
 namespace stoat {
 namespace {
 
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
-using standins::whole_answer;
 using test::status_of;
 using Clock = std::chrono::steady_clock;
 
@@ -41,7 +41,7 @@
 class LimitingEngine {
  public:
   explicit LimitingEngine(std::string limit)
-      : limit_(std::move(limit)), engine_([this](const SeenRequest& seen) { return answer(seen); }) {}
+      : limit_(std::move(limit)), engine_([this](const ReceivedRequest& seen) { return answer(seen); }) {}
 
   const ScriptedEngine& engine() const { return engine_; }
   void set_reporting(bool reporting) { reporting_ = reporting; }
@@ -67,7 +67,7 @@
   }
 
  private:
-  Script answer(const SeenRequest& seen) {
+  Script answer(const ReceivedRequest& seen) {
     const auto now = Clock::now();
     const std::string router = seen.header("X-Via");
     std::string headers = test::engine_headers(seen);
@@ -78,7 +78,7 @@
       first_reported_ = informed_routers_.empty() ? now : first_reported_;
       informed_routers_.emplace(router, now);
     }
-    return {send_step(whole_answer(200, headers, "body"))};
+    return {send_step(full_response(200, headers, "body"))};
   }
 
   std::string limit_;
@@ -138,7 +138,7 @@
 TEST_F(BackendLimitTest, RoutersTogetherStayWithinReportedLimit) {
   constexpr double kLimit = 1;
   LimitingEngine limited("1.0");
-  ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
+  ScriptedEngine other([](const ReceivedRequest& seen) { return test::succeed(seen); });
   add_engine("limited", "calls", limited.engine());
   add_engine("other", "calls", other);
   const size_t served = send_through_all(std::chrono::seconds(8));
@@ -150,7 +150,7 @@
 
 TEST_F(BackendLimitTest, LimitEndsWithFirstResponseWithoutLimit) {
   LimitingEngine limited("1.0");
-  ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
+  ScriptedEngine other([](const ReceivedRequest& seen) { return test::succeed(seen); });
   add_engine("limited", "calls", limited.engine());
   add_engine("other", "calls", other);
   send_through_all(std::chrono::seconds(4));
--- a/tests/unit/crashing_request_test.cc
+++ b/tests/unit/crashing_request_test.cc
@@ -7,9 +7,9 @@
 namespace stoat {
 namespace {
 
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using test::status_of;
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
@@ -42,21 +42,22 @@
   /// Starts one more back end.
   void start_engine() {
     const size_t number = engines_.size();
-    engines_.push_back(std::make_unique<ScriptedEngine>([this, number](const SeenRequest& seen) -> Script {
-      const std::lock_guard<std::mutex> lock(mutex_);
-      if (listener_close_times_.count(number) > 0) {
-        return {standins::wait_step(kNoAnswerWait), standins::reset_step()};
-      }
-      if (seen.body != kCrashing) {
-        return test::succeed(seen);
-      }
-      crashes_.push_back(Clock::now());
-      if (listener_close_delay_ == milliseconds(0)) {
-        return {standins::wait_step(crash_delay_), standins::crash_step()};
-      }
-      listener_close_times_[number] = Clock::now() + listener_close_delay_;
-      return {standins::reset_step()};
-    }));
+    engines_.push_back(
+        std::make_unique<ScriptedEngine>([this, number](const ReceivedRequest& seen) -> Script {
+          const std::lock_guard<std::mutex> lock(mutex_);
+          if (listener_close_times_.count(number) > 0) {
+            return {standins::wait_step(kNoAnswerWait), standins::reset_step()};
+          }
+          if (seen.body != kCrashing) {
+            return test::succeed(seen);
+          }
+          crashes_.push_back(Clock::now());
+          if (listener_close_delay_ == milliseconds(0)) {
+            return {standins::wait_step(crash_delay_), standins::crash_step()};
+          }
+          listener_close_times_[number] = Clock::now() + listener_close_delay_;
+          return {standins::reset_step()};
+        }));
     ids_.push_back("engine" + std::to_string(engines_.size()));
     add_engine(ids_.back(), "calls", *engines_.back());
   }
@@ -195,7 +196,7 @@
   }
   records_.clear();
   for (size_t number = 0; number < kThirdCrash; ++number) {
-    engines.emplace_back([](const SeenRequest&) -> Script { return {standins::reset_step()}; });
+    engines.emplace_back([](const ReceivedRequest&) -> Script { return {standins::reset_step()}; });
     add_engine("late" + std::to_string(number), "calls", engines.back());
     for (size_t tries = 0; tries < 60 && engines.back().requests().empty(); ++tries) {
       send_to_router(0, "once" + std::to_string(number) + "-" + std::to_string(tries), kCrashing);
@@ -215,7 +216,7 @@
   std::atomic<bool> breaking{true};
   std::deque<ScriptedEngine> breakers;
   for (size_t number = 0; number < 4; ++number) {
-    breakers.emplace_back([&breaking](const SeenRequest& seen) -> Script {
+    breakers.emplace_back([&breaking](const ReceivedRequest& seen) -> Script {
       return breaking ? Script{standins::reset_step()} : test::succeed(seen);
     });
     add_engine("breaker" + std::to_string(number), "calls", breakers.back());
--- a/tests/unit/dead_engines_test.cc
+++ b/tests/unit/dead_engines_test.cc
@@ -4,11 +4,11 @@
 namespace stoat {
 namespace {
 
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
-using standins::whole_answer;
 using test::status_of;
 
 /// An address at which connections are never established, as at an unreachable host: the backlog of the
@@ -64,7 +64,7 @@
 };
 
 TEST_F(UnresponsiveEngineTest, RequestAtAnEngineThatBecomesUnresponsiveIsRetriedElsewhereInTime) {
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   const UnresponsiveAddress unresponsive(true);
   add_engine_at("dark", unresponsive.text());
   add_engine("alive", "calls", engine);
@@ -77,9 +77,9 @@
 }
 
 TEST_F(UnresponsiveEngineTest, SlowButReachableEngineKeepsItsRequest) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {standins::wait_step(std::chrono::milliseconds(1200)),
-            send_step(whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "body"))};
+            send_step(full_response(200, engine_headers_for(request.header("X-Request-Id")), "body"))};
   });
   add_engine("slow", "calls", engine);
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
@@ -96,7 +96,7 @@
 TEST_F(NoRetriesTest, RefusedConnectionDoesNotUseTheRetryBudget) {
   // Guards against charging the retry budget for failed connections: after a crash of many engines, requests
   // were refused for lack of budget although no engine had received them.
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   add_dead_engine("dead");
   add_engine("alive", "calls", engine);
   for (int i = 0; i < 12; ++i) {  // each goes to a random engine first
@@ -107,7 +107,7 @@
 TEST_F(NoRetriesTest, RequestReachesAHealthyEngineHoweverManyAreDown) {
   // Guards against counting failed connections as refusals: when a third of the engines had crashed, three of
   // them were tried in a row within 4 ms, and the request was refused.
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   for (int number = 0; number < 8; ++number) {
     add_dead_engine("dead" + std::to_string(number));
   }
@@ -134,7 +134,7 @@
 TEST_F(NoRetriesTest, UnresponsiveEngineIsAbandonedInTimeForAnother) {
   // Guards against a long connection time-out: when a quarter of the engines of a large fleet became
   // unreachable, a request waited 1.5 s for its connection, far beyond its latency objective.
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   const UnresponsiveAddress unresponsive;
   add_engine_at("dark", unresponsive.text());
   add_engine("alive", "calls", engine);
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -5,13 +5,13 @@
 namespace {
 
 using standins::close_step;
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::reset_step;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
 using standins::wait_step;
-using standins::whole_answer;
 using test::count_occurrences;
 using test::RawClient;
 using test::status_of;
@@ -35,9 +35,9 @@
 };
 
 TEST_F(GatewayTest, ForwardsARequestUnchangedExceptForRouterHeaders) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {send_step(
-        whole_answer(200, engine_headers_for(request.header("X-Request-Id")) + "X-Other: 1\r\n", "body"))};
+        full_response(200, engine_headers_for(request.header("X-Request-Id")) + "X-Other: 1\r\n", "body"))};
   });
   add_engine("e1", "calls", engine);
   const std::string response =
@@ -46,7 +46,7 @@
   EXPECT_EQ(status_of(response), "HTTP/1.1 200");
   EXPECT_NE(response.find("X-Other: 1"), std::string::npos);
   ASSERT_EQ(engine.requests().size(), 1U);
-  const SeenRequest seen = engine.requests().front();
+  const ReceivedRequest seen = engine.requests().front();
   EXPECT_EQ(seen.head.substr(0, seen.head.find("\r\n")), "GET /once/a%2Fb?c=%20&d HTTP/1.1");
   EXPECT_EQ(seen.header("X-Tenant"), "t1");
   EXPECT_EQ(seen.header("X-Mine"), "yes");
@@ -70,8 +70,8 @@
 }
 
 TEST_F(GatewayTest, NeverRetriesAnUnsafeRequestAfterALostResponse) {
-  ScriptedEngine engine([](const SeenRequest&) -> Script { return {reset_step()}; });
-  ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
+  ScriptedEngine engine([](const ReceivedRequest&) -> Script { return {reset_step()}; });
+  ScriptedEngine other([](const ReceivedRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "calls", engine);
   add_engine("e2", "calls", other);
   EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
@@ -80,7 +80,7 @@
 
 TEST_F(GatewayTest, RetriesASafeRequestOnAnotherBackendAfterALostResponse) {
   std::atomic<int> sends{0};
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     if (++sends == 1) {
       return {reset_step()};
     }
@@ -97,12 +97,12 @@
 
 TEST_F(GatewayTest, RetriesAnUnsafeRequestThatTheBackendDidNotRun) {
   std::atomic<int> sends{0};
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
     if (++sends == 1) {
-      return {send_step(whole_answer(503, "X-Request-Id: " + id + "\r\nX-Not-Run: 1\r\n", ""))};
+      return {send_step(full_response(503, "X-Request-Id: " + id + "\r\nX-Not-Run: 1\r\n", ""))};
     }
-    return {send_step(whole_answer(200, engine_headers_for(id), "ok"))};
+    return {send_step(full_response(200, engine_headers_for(id), "ok"))};
   };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
@@ -124,8 +124,8 @@
 }
 
 TEST_F(GatewayTest, ForwardsAnEngineErrorUnchanged) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    return {send_step(whole_answer(500, engine_headers_for(request.header("X-Request-Id")), "broken"))};
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
+    return {send_step(full_response(500, engine_headers_for(request.header("X-Request-Id")), "broken"))};
   });
   add_engine("e1", "calls", engine);
   const std::string response = send_request("POST", "/once/", "q1", "Content-Length: 0\r\n");
@@ -135,18 +135,18 @@
 }
 
 TEST_F(GatewayTest, NeverForwardsASuccessWithoutTheEnginesSignature) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {
-        send_step(whole_answer(200, "X-Request-Id: " + request.header("X-Request-Id") + "\r\n", "forged"))};
+        send_step(full_response(200, "X-Request-Id: " + request.header("X-Request-Id") + "\r\n", "forged"))};
   });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
 TEST_F(GatewayTest, SkipsAResponseToAnotherRequest) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    return {send_step(whole_answer(200, engine_headers_for("another"), "not yours") +
-                      whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "yours"))};
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
+    return {send_step(full_response(200, engine_headers_for("another"), "not yours") +
+                      full_response(200, engine_headers_for(request.header("X-Request-Id")), "yours"))};
   });
   add_engine("e1", "calls", engine);
   const std::string response = send_request("POST", "/once/", "q1", "Content-Length: 0\r\n");
@@ -155,8 +155,8 @@
 }
 
 TEST_F(GatewayTest, DoesNotReuseAConnectionWithSurplusBytes) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
-    const std::string response = whole_answer(200, engine_headers_for(request.header("X-Request-Id")), "ok");
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
+    const std::string response = full_response(200, engine_headers_for(request.header("X-Request-Id")), "ok");
     return {send_step(response + response)};
   });
   add_engine("e1", "calls", engine);
@@ -168,7 +168,7 @@
 
 TEST_F(GatewayTest, AcceptsAnUnframedResponseOnlyAfterAnOrderlyClose) {
   std::atomic<bool> orderly{true};
-  ScriptedEngine engine([&](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([&](const ReceivedRequest& request) -> Script {
     const std::string head =
         "HTTP/1.1 200 OK\r\n" + engine_headers_for(request.header("X-Request-Id")) + "\r\nunframed";
     if (orderly) {
@@ -184,14 +184,15 @@
 }
 
 TEST_F(GatewayTest, RespondsToGarbageWithBadGateway) {
-  ScriptedEngine engine([](const SeenRequest&) -> Script { return {send_step("\x01\x02garbage\r\n\r\n")}; });
+  ScriptedEngine engine(
+      [](const ReceivedRequest&) -> Script { return {send_step("\x01\x02garbage\r\n\r\n")}; });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(send_request("POST", "/once/", "q1", "Content-Length: 0\r\n")), "HTTP/1.1 502");
 }
 
 TEST_F(GatewayTest, EndsARequestAtItsDeadlineAndStopsTheEngine) {
   ScriptedEngine engine(
-      [](const SeenRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
+      [](const ReceivedRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
   add_engine("e1", "calls", engine);
   RawClient client(router_port_);
   const auto start = std::chrono::steady_clock::now();
@@ -206,7 +207,7 @@
 
 TEST_F(GatewayTest, StopsTheEngineWhenTheClientDisconnects) {
   ScriptedEngine engine(
-      [](const SeenRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
+      [](const ReceivedRequest&) -> Script { return {wait_step(std::chrono::milliseconds(8000))}; });
   add_engine("e1", "calls", engine);
   {
     RawClient client(router_port_);
@@ -217,7 +218,7 @@
 }
 
 TEST_F(GatewayTest, StreamsWholeEventsToTheEnd) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1) + event(2).substr(0, 7))),
             wait_step(std::chrono::milliseconds(30)), send_step(chunk(event(2).substr(7)) + "0\r\n\r\n")};
   });
@@ -230,11 +231,11 @@
 }
 
 TEST_F(GatewayTest, AbortsAStreamThatIsNotResumable) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1))),
             wait_step(std::chrono::milliseconds(30)), reset_step()};
   });
-  ScriptedEngine other([](const SeenRequest&) -> Script { return {reset_step()}; });
+  ScriptedEngine other([](const ReceivedRequest&) -> Script { return {reset_step()}; });
   add_engine("e1", "models", engine);
   const std::string response =
       send_request("POST", "/stream/", "q1", std::string(kPromptHeaders) + "Content-Length: 0\r\n");
@@ -245,7 +246,7 @@
 
 TEST_F(GatewayTest, ResumesAStreamElsewhereWithoutRepeatedOrMissingEvents) {
   std::atomic<int> sends{0};
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string head = stream_head(request.header("X-Request-Id"));
     if (++sends == 1) {
       return {send_step(head + chunk(event(1) + event(2) + event(3).substr(0, 4))),
@@ -268,7 +269,7 @@
 
 TEST_F(GatewayTest, NonResumableStreamContinuesFromItsKvCacheBackup) {
   std::atomic<int> sends{0};
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string head = stream_head(request.header("X-Request-Id"));
     if (++sends == 1) {
       EXPECT_NE(request.header("X-Kv-Backup"), "");
@@ -292,7 +293,7 @@
 TEST_F(GatewayTest, BackupIsNotUsedBeforeTheFirstEvent) {
   // Found in a bench run (TWICE): without an event to continue after, the engine takes the request as a new
   // run.
-  const auto handler = [](const SeenRequest&) -> Script { return {reset_step()}; };
+  const auto handler = [](const ReceivedRequest&) -> Script { return {reset_step()}; };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
   add_engine("e1", "models", engine);
@@ -305,7 +306,7 @@
 
 TEST_F(GatewayTest, BackupIsNotUsedAfterAWeightChange) {
   // Found in a bench run (STALE): the failed engine had new weights by the end of its run.
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string head = "HTTP/1.1 200 OK\r\n" + engine_headers_for(request.header("X-Request-Id")) +
                              "X-Weights-Version: 2\r\nTransfer-Encoding: chunked\r\n\r\n";
     return {send_step(head + chunk(event(1))), wait_step(std::chrono::milliseconds(30)), reset_step()};
@@ -322,13 +323,13 @@
 
 TEST_F(GatewayTest, StreamWithoutABackupIsAborted) {
   std::atomic<int> sends{0};
-  const auto handler = [&](const SeenRequest& request) -> Script {
+  const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
     if (++sends == 1) {
       return {send_step(stream_head(id) + chunk(event(1))), wait_step(std::chrono::milliseconds(30)),
               reset_step()};
     }
-    return {send_step(whole_answer(503, "X-Request-Id: " + id + "\r\nX-Not-Run: 1\r\n", ""))};
+    return {send_step(full_response(503, "X-Request-Id: " + id + "\r\nX-Not-Run: 1\r\n", ""))};
   };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
@@ -342,11 +343,11 @@
 
 TEST_F(GatewayTest, SendsTheExpectedWeightsAndLearnsNewerOnesFromResponses) {
   std::atomic<int> sends{0};
-  ScriptedEngine engine([&](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([&](const ReceivedRequest& request) -> Script {
     const std::string id = request.header("X-Request-Id");
     if (++sends == 1) {
       EXPECT_EQ(request.header("X-Expected-Weights"), "1");
-      return {send_step(whole_answer(421, "X-Request-Id: " + id + "\r\nX-Weights-Version: 2\r\n", ""))};
+      return {send_step(full_response(421, "X-Request-Id: " + id + "\r\nX-Weights-Version: 2\r\n", ""))};
     }
     EXPECT_EQ(request.header("X-Expected-Weights"), "2");
     EXPECT_NE(request.header("X-Cache-Salt").find("v2"), std::string::npos);
@@ -360,7 +361,7 @@
 }
 
 TEST_F(GatewayTest, AnnouncesTheHolderOfAPromptChainToOtherRouters) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
@@ -399,7 +400,7 @@
 }
 
 TEST_F(GatewayTest, FetchesKvCacheFromTheEngineThatHoldsIt) {
-  const auto stream = [](const SeenRequest& request) -> Script {
+  const auto stream = [](const ReceivedRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   };
   ScriptedEngine first(stream);
@@ -426,7 +427,7 @@
 }
 
 TEST_F(GatewayTest, SeparatesTheCacheOfAnIsolatedTenant) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script {
+  ScriptedEngine engine([](const ReceivedRequest& request) -> Script {
     return {send_step(stream_head(request.header("X-Request-Id")) + chunk(event(1)) + "0\r\n\r\n")};
   });
   add_engine("e1", "models", engine);
@@ -443,7 +444,8 @@
 }
 
 TEST_F(GatewayTest, SendsNothingToARetiredBackend) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
+  ScriptedEngine engine(
+      [](const ReceivedRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   auto done = std::make_shared<std::promise<bool>>();
@@ -472,7 +474,8 @@
 }
 
 TEST_F(GatewayTest, RejectsKeysAfterControlIsSilentForTooLong) {
-  ScriptedEngine engine([](const SeenRequest& request) -> Script { return test::succeed(request, "ok"); });
+  ScriptedEngine engine(
+      [](const ReceivedRequest& request) -> Script { return test::succeed(request, "ok"); });
   add_engine("e1", "calls", engine);
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "q1")), "HTTP/1.1 200");
   freeze_control();
--- a/tests/unit/load_gateway_test.cc
+++ b/tests/unit/load_gateway_test.cc
@@ -6,12 +6,12 @@
 namespace stoat {
 namespace {
 
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
 using standins::wait_step;
-using standins::whole_answer;
 using test::RawClient;
 using test::status_of;
 
@@ -42,13 +42,13 @@
   std::vector<std::unique_ptr<RawClient>> clients_;
 };
 
-Script respond_after(const SeenRequest& seen, int milliseconds) {
+Script respond_after(const ReceivedRequest& seen, int milliseconds) {
   return {wait_step(std::chrono::milliseconds(milliseconds)),
-          send_step(whole_answer(200, test::engine_headers(seen), "body"))};
+          send_step(full_response(200, test::engine_headers(seen), "body"))};
 }
 
 TEST_F(LoadGatewayTest, RequestWaitsForASlotAndIsThenSent) {
-  ScriptedEngine engine([](const SeenRequest& seen) { return respond_after(seen, 300); });
+  ScriptedEngine engine([](const ReceivedRequest& seen) { return respond_after(seen, 300); });
   add_engine("e1", "calls", engine);
   fill(engine, kRequestsThatFillTheEngine);
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "held")), "HTTP/1.1 200");
@@ -57,7 +57,7 @@
 }
 
 TEST_F(LoadGatewayTest, UnservableRequestIsRefusedAtOnceWithRetryAfter) {
-  ScriptedEngine engine([](const SeenRequest& seen) { return respond_after(seen, 1500); });
+  ScriptedEngine engine([](const ReceivedRequest& seen) { return respond_after(seen, 1500); });
   add_engine("e1", "calls", engine);
   fill(engine, kRequestsThatOverloadTheEngine);
   const auto start = std::chrono::steady_clock::now();
@@ -71,7 +71,7 @@
 }
 
 TEST_F(LoadGatewayTest, RequestOfADisconnectedClientIsNotSent) {
-  ScriptedEngine engine([](const SeenRequest& seen) { return respond_after(seen, 300); });
+  ScriptedEngine engine([](const ReceivedRequest& seen) { return respond_after(seen, 300); });
   add_engine("e1", "calls", engine);
   fill(engine, kRequestsThatFillTheEngine);
   {
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -7,8 +7,8 @@
 namespace stoat {
 namespace {
 
+using standins::ReceivedRequest;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using test::status_of;
 
 /// A fleet whose tenant "t1" may spend 100 tokens per second, and 200 at once.
@@ -39,7 +39,7 @@
 };
 
 TEST_F(QuotaGatewayTest, RefusesRequestsBeyondQuotaWithRetryAfter) {
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   add_engine("e1", "calls", engine);
   ASSERT_TRUE(reaches_status("HTTP/1.1 200", 1))
       << "a member that has just started assumes that most of the quota is spent";
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -6,11 +6,11 @@
 namespace stoat {
 namespace {
 
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
-using standins::whole_answer;
 using test::status_of;
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
@@ -27,7 +27,7 @@
   explicit BackoffEngine(std::string retry_after, milliseconds backoff_time)
       : retry_after_(std::move(retry_after)),
         backoff_time_(backoff_time),
-        engine_([this](const SeenRequest& seen) { return answer(seen); }) {}
+        engine_([this](const ReceivedRequest& seen) { return answer(seen); }) {}
   const ScriptedEngine& engine() const { return engine_; }
   size_t count() const { return engine_.requests().size(); }
   /// Number of requests that arrived later than kInFlightTime after the first one, and before the end of the
@@ -40,14 +40,14 @@
   }
 
  private:
-  Script answer(const SeenRequest& seen) {
+  Script answer(const ReceivedRequest& seen) {
     const std::lock_guard<std::mutex> lock(mutex_);
     arrivals_.push_back(Clock::now());
     if (arrivals_.back() >= arrivals_.front() + backoff_time_) {
       return test::succeed(seen);
     }
     const std::string headers = "X-Request-Id: " + seen.header("X-Request-Id") + "\r\nX-Not-Run: 1\r\n";
-    return {send_step(whole_answer(503, headers + "Retry-After: " + retry_after_ + "\r\n", "busy"))};
+    return {send_step(full_response(503, headers + "Retry-After: " + retry_after_ + "\r\n", "busy"))};
   }
 
   std::string retry_after_;
@@ -89,7 +89,7 @@
 
 TEST_F(BackendBackoffTest, BackEndsInBackoffGetNoRequestsWhileOthersServe) {
   constexpr milliseconds kBackoff{2500};
-  ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
+  ScriptedEngine other([](const ReceivedRequest& seen) { return test::succeed(seen); });
   add_backoff_engines(4, "2.5", kBackoff);
   add_engine("other", "calls", other);
   size_t asked = 0;
@@ -137,10 +137,10 @@
 }
 
 TEST_F(BackendBackoffTest, BackEndThatAnnouncesItsShutdownInAResponseGetsNoFurtherRequests) {
-  ScriptedEngine leaving([](const SeenRequest& seen) -> Script {
-    return {send_step(whole_answer(200, test::engine_headers(seen) + "X-Leaving: 1\r\n", "body"))};
+  ScriptedEngine leaving([](const ReceivedRequest& seen) -> Script {
+    return {send_step(full_response(200, test::engine_headers(seen) + "X-Leaving: 1\r\n", "body"))};
   });
-  ScriptedEngine other([](const SeenRequest& seen) { return test::succeed(seen); });
+  ScriptedEngine other([](const ReceivedRequest& seen) { return test::succeed(seen); });
   add_engine("leaving", "calls", leaving);
   add_engine("other", "calls", other);
   size_t asked = 0;
--- a/tests/unit/rollout_fleet_test.cc
+++ b/tests/unit/rollout_fleet_test.cc
@@ -5,12 +5,12 @@
 namespace stoat {
 namespace {
 
+using standins::full_response;
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using standins::send_step;
 using standins::wait_step;
-using standins::whole_answer;
 using test::run_on;
 
 constexpr int64_t kDurationMs = 6000;
@@ -26,10 +26,10 @@
   void start_engine(const std::string& version, size_t fail_one_in = 0,
                     std::chrono::milliseconds delay = std::chrono::milliseconds(2)) {
     auto answered = std::make_shared<std::atomic<size_t>>(0);
-    engines_.push_back(std::make_unique<ScriptedEngine>([=](const SeenRequest& request) -> Script {
+    engines_.push_back(std::make_unique<ScriptedEngine>([=](const ReceivedRequest& request) -> Script {
       const std::string headers = engine_headers_for(request.header("X-Request-Id"));
       const bool fails = fail_one_in > 0 && ++*answered % fail_one_in == 0;
-      return {wait_step(delay), send_step(whole_answer(fails ? 500 : 200, headers, version))};
+      return {wait_step(delay), send_step(full_response(fails ? 500 : 200, headers, version))};
     }));
     auto record = std::make_shared<fleet::BackendRecord>();
     record->id = version + "-" + std::to_string(engines_.size());
--- a/tests/unit/starting_router_test.cc
+++ b/tests/unit/starting_router_test.cc
@@ -6,8 +6,8 @@
 namespace stoat {
 namespace {
 
+using standins::ReceivedRequest;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using test::status_of;
 
 TEST(StartupQueue, ReturnsRequestsInOrderAndForgetsDisconnectedClients) {
@@ -54,7 +54,7 @@
 class UnconfiguredFleetTest : public test::SmallFleet {};
 
 TEST_F(UnconfiguredFleetTest, RequestWaitsForTheFirstConfiguration) {
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   auto response = std::async(std::launch::async, [this] { return send_request("GET", "/safe/", "q1"); });
   EXPECT_EQ(response.wait_for(std::chrono::milliseconds(300)), std::future_status::timeout);
   add_engine("e1", "calls", engine);
@@ -66,7 +66,7 @@
 /// the first of 495 requests after 102 ms ("request waits known=0", "no back end"): the router had just begun
 /// a feed at a member that received its first heartbeats 8 ms later.
 TEST_F(UnconfiguredFleetTest, RequestWaitsForTheFirstBackendOfItsService) {
-  ScriptedEngine engine([](const SeenRequest& request) { return test::succeed(request); });
+  ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   ASSERT_TRUE(configure(make_configuration(1)));
   router_settings_.max_startup_wait = 20s;
   router_port_ = add_router();
--- a/tests/unit/suspended_machine_test.cc
+++ b/tests/unit/suspended_machine_test.cc
@@ -38,7 +38,7 @@
 };
 
 TEST_F(SuspendedMachineTest, KeysAreRejectedAfterTheLeaseEndsDuringASuspension) {
-  standins::ScriptedEngine engine([](const standins::SeenRequest& seen) { return test::succeed(seen); });
+  standins::ScriptedEngine engine([](const standins::ReceivedRequest& seen) { return test::succeed(seen); });
   add_engine("engine", "calls", engine);
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "before")), "HTTP/1.1 200");
   freeze_control();
--- a/tools/chaos_main.cc
+++ b/tools/chaos_main.cc
@@ -11,7 +11,7 @@
 #include "simulation/seed_runs.h"
 #include "src/common/command_line.h"
 #include "tools/fault_plan.h"
-#include "tools/served_fleet.h"
+#include "tools/loopback_fleet.h"
 
 namespace stoat::tools {
 namespace {
@@ -51,7 +51,7 @@
   return settings;
 }
 
-FaultTargets fault_targets(const ServedFleet& fleet) {
+FaultTargets fault_targets(const LoopbackFleet& fleet) {
   FaultTargets targets;
   targets.control_members = fleet.names_of("control");
   for (const char* kind : {"router", "engine", "service"}) {
@@ -109,14 +109,14 @@
 
 /// Checks that, once all faults have ended, a configuration is accepted, all processes are registered and
 /// every request completes.
-void check_recovery(ServedFleet& fleet, const ChaosSettings& settings, uint64_t seed,
+void check_recovery(LoopbackFleet& fleet, const ChaosSettings& settings, uint64_t seed,
                     const std::vector<RequestClass>& classes, std::vector<std::string>& violations) {
   if (!fleet.put_configuration(configuration_document(settings.configuration, 2), kRecoveryTimeout)) {
     violations.push_back("no configuration was accepted after all faults had ended");
     return;
   }
   const size_t backends = fleet.names_of("engine").size() + fleet.names_of("service").size();
-  if (!ServedFleet::wait_until(
+  if (!LoopbackFleet::wait_until(
           [&] { return fleet.has_registered(fleet.names_of("router").size(), backends); },
           kRecoveryTimeout)) {
     violations.push_back("not all processes were registered after all faults had ended: " +
@@ -138,7 +138,7 @@
 
 /// Checks that the backend with a limit received no more requests than allowed, in spite of restarts of
 /// routers and control members.
-void check_limit(const ServedFleet& fleet, const std::vector<PlannedFault>& faults, Duration span,
+void check_limit(const LoopbackFleet& fleet, const std::vector<PlannedFault>& faults, Duration span,
                  std::vector<std::string>& violations) {
   const auto hits_limited_backend = [](const PlannedFault& fault) {
     return fault.process == kLimitedBackend;
@@ -157,12 +157,12 @@
   const std::string folder =
       settings.work_folder + "/" + std::to_string(getpid()) + "-" + std::to_string(seed);
   ProcessFleet processes(settings.programs, folder);
-  ServedFleetOptions options;
+  LoopbackFleetOptions options;
   options.configuration_file = settings.configuration;
   options.services = kPlainServices;
   options.limited_services = 1;
   options.rate_limit = kRateLimit;
-  ServedFleet fleet(processes, options);
+  LoopbackFleet fleet(processes, options);
   fleet.start();
   const TimePoint started_at = monotonic_now();
   const std::vector<RequestClass> classes = demo_classes();
--- a/tools/served_fleet.cc
+++ b/tools/loopback_fleet.cc
@@ -1,4 +1,4 @@
-#include "tools/served_fleet.h"
+#include "tools/loopback_fleet.h"
 
 #include <fstream>
 #include <sstream>
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-ServedFleet::ServedFleet(ProcessFleet& processes, const ServedFleetOptions& options)
+LoopbackFleet::LoopbackFleet(ProcessFleet& processes, const LoopbackFleetOptions& options)
     : processes_(processes), options_(options) {
   add_control_members();
   add_routers();
@@ -56,7 +56,7 @@
   }
 }
 
-void ServedFleet::add_control_members() {
+void LoopbackFleet::add_control_members() {
   std::vector<Endpoint> internal;
   for (uint32_t number = 1; number <= options_.control_members; ++number) {
     internal.push_back(processes_.free_endpoint());
@@ -77,7 +77,7 @@
   }
 }
 
-void ServedFleet::add_routers() {
+void LoopbackFleet::add_routers() {
   for (uint32_t number = 1; number <= options_.routers; ++number) {
     const std::string name = "router-" + std::to_string(number);
     router_endpoints_.push_back(processes_.free_endpoint());
@@ -89,8 +89,8 @@
   }
 }
 
-void ServedFleet::add_backend(const std::string& name, const std::string& service, bool engine,
-                              double rate_limit) {
+void LoopbackFleet::add_backend(const std::string& name, const std::string& service, bool engine,
+                                double rate_limit) {
   backend_names_.push_back(name);
   std::vector<std::string> settings = {setting("name", name), setting("service", service),
                                        setting("listen", to_string(processes_.free_endpoint())),
@@ -114,7 +114,8 @@
   processes_.add(name, "standin-backend", settings);
 }
 
-void ServedFleet::start_service(const std::string& name, const std::string& software, uint32_t fails_each) {
+void LoopbackFleet::start_service_backend(const std::string& name, const std::string& software,
+                                          uint32_t fails_each) {
   backend_names_.push_back(name);
   processes_.add(name, "standin-backend",
                  {setting("name", name), setting("service", "search"),
@@ -124,11 +125,11 @@
   processes_.start(name);
 }
 
-std::string ServedFleet::runs_file(const std::string& name) const {
+std::string LoopbackFleet::runs_file(const std::string& name) const {
   return processes_.work_folder() + "/" + name + ".runs";
 }
 
-void ServedFleet::start() {
+void LoopbackFleet::start() {
   for (const std::string& name : processes_.names()) {
     processes_.start(name);
   }
@@ -146,7 +147,7 @@
   }
 }
 
-bool ServedFleet::put_configuration(const std::string& document, Duration limit) const {
+bool LoopbackFleet::put_configuration(const std::string& document, Duration limit) const {
   size_t next = 0;
   return wait_until(
       [&] {
@@ -156,7 +157,7 @@
       limit);
 }
 
-json ServedFleet::status_of_leader() const {
+json LoopbackFleet::status_of_leader() const {
   for (const Endpoint& member : admin_endpoints_) {
     json page = json::parse(send_request(member, "GET", control::FleetPaths().status).body, nullptr, false);
     if (page.is_object() && page["leads"] == true) {
@@ -166,7 +167,7 @@
   return {};
 }
 
-std::string ServedFleet::leader() const {
+std::string LoopbackFleet::leader() const {
   for (size_t position = 0; position < admin_endpoints_.size(); ++position) {
     const json page = json::parse(
         send_request(admin_endpoints_[position], "GET", control::FleetPaths().status).body, nullptr, false);
@@ -177,7 +178,7 @@
   return "";
 }
 
-bool ServedFleet::wait_until(const std::function<bool()>& condition, Duration limit) {
+bool LoopbackFleet::wait_until(const std::function<bool()>& condition, Duration limit) {
   const TimePoint end = monotonic_now() + limit;
   while (!condition()) {
     if (monotonic_now() >= end) {
@@ -188,7 +189,7 @@
   return true;
 }
 
-bool ServedFleet::has_registered(size_t routers, size_t backends) const {
+bool LoopbackFleet::has_registered(size_t routers, size_t backends) const {
   const json status = status_of_leader();
   if (status.is_null() || status["routers"].size() != routers) {
     return false;
@@ -200,13 +201,13 @@
   return ready == backends;
 }
 
-LoadTarget ServedFleet::target() const {
+LoadTarget LoopbackFleet::target() const {
   LoadTarget target;
   target.routers = router_endpoints_;
   return target;
 }
 
-std::vector<std::string> ServedFleet::names_of(const std::string& kind) const {
+std::vector<std::string> LoopbackFleet::names_of(const std::string& kind) const {
   std::vector<std::string> names;
   for (const std::string& name : processes_.names()) {
     if (name.starts_with(kind + "-")) {
@@ -216,7 +217,7 @@
   return names;
 }
 
-std::multiset<std::string> ServedFleet::runs() const {
+std::multiset<std::string> LoopbackFleet::runs() const {
   std::multiset<std::string> runs;
   for (const std::string& name : backend_names_) {
     runs.merge(runs_at(name));
@@ -224,7 +225,7 @@
   return runs;
 }
 
-std::multiset<std::string> ServedFleet::runs_at(const std::string& name) const {
+std::multiset<std::string> LoopbackFleet::runs_at(const std::string& name) const {
   std::multiset<std::string> runs;
   std::ifstream file(runs_file(name));
   for (std::string line; std::getline(file, line);) {
--- a/tools/served_fleet.h
+++ b/tools/loopback_fleet.h
@@ -14,7 +14,7 @@
 namespace stoat::tools {
 
 /// How many processes of each kind to run, and how the simulated backends behave.
-struct ServedFleetOptions {
+struct LoopbackFleetOptions {
   uint32_t control_members = 3;
   uint32_t routers = 2;
   uint32_t engines = 3;
@@ -27,16 +27,16 @@
 };
 
 /// The processes are named control-1, router-1, engine-1, service-1 and so on.
-class ServedFleet {
+class LoopbackFleet {
  public:
-  ServedFleet(ProcessFleet& processes, const ServedFleetOptions& options);
+  LoopbackFleet(ProcessFleet& processes, const LoopbackFleetOptions& options);
 
   /// Starts all processes and waits until every router and backend has registered with the control plane.
   /// Throws std::runtime_error if that takes too long.
   void start();
   /// Starts another backend of the plain service, which reports `software` as its program version. Every
   /// `fails_each`-th request to it fails; 0: none.
-  void start_service(const std::string& name, const std::string& software, uint32_t fails_each);
+  void start_service_backend(const std::string& name, const std::string& software, uint32_t fails_each);
   /// Puts a configuration document in force. Returns false if it was not acknowledged within `limit`.
   bool put_configuration(const std::string& document, Duration limit = Duration(10s)) const;
   /// The status page of the leading control member; null if there is no leader.
@@ -66,7 +66,7 @@
   std::string runs_file(const std::string& name) const;
 
   ProcessFleet& processes_;
-  ServedFleetOptions options_;
+  LoopbackFleetOptions options_;
   std::vector<Endpoint> admin_endpoints_;
   std::vector<Endpoint> router_endpoints_;
   std::vector<std::string> control_names_;
