--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -361,7 +361,7 @@
 
 void GatewayServer::check_silence() {
   // Copied, because a request that ends is removed from the map.
-  std::vector<std::shared_ptr<dispatch::RequestRun>> running;
+  std::vector<std::shared_ptr<dispatch::ActiveRequest>> running;
   running.reserve(active_requests_.size());
   for (const auto& [response, active_request] : active_requests_) {
     running.push_back(active_request);
