--- a/tests/support/fleet_members.h
+++ b/tests/support/fleet_members.h
@@ -135,7 +135,7 @@
       start(i, true);
     }
   }
-  /// Returns the command to put a configuration in force whose document is "v" and the version.
+  /// Returns a command that puts a configuration in force. Its document is "v" followed by the version.
   static fleet::PutConfiguration put(uint64_t version) {
     fleet::PutConfiguration command;
     command.configuration.version = version;
--- a/tests/support/simulated_rollout.h
+++ b/tests/support/simulated_rollout.h
@@ -19,8 +19,8 @@
 /// The fault of the target version.
 enum class VersionFault : uint8_t { kNone, kFailures, kSlow };
 
-/// The conditions of a rollout. The target version is the one that is rolled out; the other version serves
-/// before.
+/// The conditions of a rollout. The target version is the one being rolled out; the other version served the
+/// traffic before.
 struct RolloutConditions {
   Duration duration{0};        ///< from the order until the deadline
   double rate = 0;             ///< requests per second
@@ -142,6 +142,7 @@
 
  private:
   static constexpr Duration kStep = 200ms;
+  /// How long the simulation continues after the deadline if the rollout is not in a final phase.
   static constexpr Duration kMaxOvertime = 3s;
   /// Maximum time for the rollback of a version that has given kBadResponsesBeforeRollback bad responses.
   static constexpr Duration kMaxRollbackTime = 5s;
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -51,8 +51,8 @@
 /// time a server listens on it.
 inline constexpr int kFirstTestPort = 15000;
 inline constexpr int kTestPortCount = 16000;
-/// Number of ports of each process. Tests that run in parallel have process IDs close to one another, so they
-/// use different ports.
+/// Number of ports of each process. Tests that run in parallel have process IDs close to one another, so with
+/// a range of ports for each ID they use different ports.
 inline constexpr int kPortsPerProcess = 40;
 
 /// Returns whether no socket listens on the port on any local IPv4 address.
