--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -36,7 +36,8 @@
   uint64_t sent = 0;
 };
 
-/// See the top of this file.
+/// Holds the rate limits that backends have reported, decides when a request may be sent to a limited
+/// backend, and requests permits for it from the control plane.
 class BackendLimits {
  public:
   /// Records a limit that a backend reported in a response. Returns the change, if there is one.
--- a/src/admission/crash_history.h
+++ b/src/admission/crash_history.h
@@ -55,7 +55,8 @@
   Duration left{0};      ///< remaining duration of the quarantine
 };
 
-/// See the top of this file.
+/// Counts, for each request, the backend crashes during its execution, and decides whether the request must
+/// be held back.
 class CrashHistory {
  public:
   explicit CrashHistory(const QuarantineOptions& options = {}) : options_(options) {}
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -23,8 +23,8 @@
   TimePoint due{0};
 };
 
-/// See the top of this file. Uses start-time fair queueing: the virtual time of a flow advances by cost /
-/// share.
+/// A priority queue of waiting requests that shares each class fairly between its flows. Uses start-time fair
+/// queueing: the virtual time of a flow advances by cost / share.
 class FairQueue {
  public:
   void push(const FairQueueEntry& waiting);
--- a/src/admission/permit_issuer.h
+++ b/src/admission/permit_issuer.h
@@ -41,7 +41,8 @@
   Duration wait{0};    ///< until the permits become valid; if none were granted, until asking again is useful
 };
 
-/// See the top of this file. Tracks only backends for which permits were requested recently.
+/// Grants permits at the leader of the control plane, spaced according to the limit of each backend. Tracks
+/// only backends for which permits were requested recently.
 class PermitIssuer {
  public:
   /// Called when this member becomes the leader. It has granted nothing yet, but the previous leader may
--- a/src/admission/quota_allowance.h
+++ b/src/admission/quota_allowance.h
@@ -36,7 +36,7 @@
 /// the second of two requests that arrive together.
 inline constexpr double kMinBurstS = 0.5;
 
-/// See the top of this file. Amounts are in the quota's unit.
+/// The limits that follow from a tenant's quota and the tolerance. Amounts are in the quota's unit.
 struct QuotaAllowance {
   double per_window = 0;  ///< maximum in any window
   double burst = 0;       ///< maximum at once
--- a/src/admission/quota_enforcer.h
+++ b/src/admission/quota_enforcer.h
@@ -32,7 +32,8 @@
   std::vector<fleet::TenantSpending> spending;
 };
 
-/// See the top of this file.
+/// Admits or refuses requests at one router according to the levels received from the control plane and the
+/// router's own spending since then.
 class QuotaEnforcer {
  public:
   QuotaEnforcer(const QuotaTolerance& tolerance, uint64_t seed) : tolerance_(tolerance), random_(seed) {}
--- a/src/admission/quota_ledger.h
+++ b/src/admission/quota_ledger.h
@@ -32,7 +32,8 @@
   kAll,      ///< all sums, from a member that has been counting for some time
 };
 
-/// See the top of this file.
+/// Adds up the spending of all tenants with quotas at one control-plane member, and computes the levels that
+/// are sent to its routers.
 class QuotaLedger {
  public:
   /// `start_id`: differs at each start of the member.
--- a/src/admission/request_queue.h
+++ b/src/admission/request_queue.h
@@ -27,7 +27,8 @@
   std::function<void()> send;
 };
 
-/// See the top of this file. Every queued request leaves the queue either by being sent or through leave().
+/// The waiting requests of one service at one router. Every queued request leaves the queue either by being
+/// sent or through leave().
 class RequestQueue {
  public:
   /// Adds a request and returns its number for leave().
--- a/src/admission/retry_scheduler.h
+++ b/src/admission/retry_scheduler.h
@@ -21,7 +21,7 @@
   Duration time_to_room{0};  ///< until an engine is expected to have room for it
 };
 
-/// See the top of this file. A router has one instance per service.
+/// Assigns each refused caller the delay after which to retry. A router has one instance per service.
 class RetryScheduler {
  public:
   /// `max_delay`: upper bound on the delay given to any caller.
--- a/src/control/engine_client.h
+++ b/src/control/engine_client.h
@@ -7,7 +7,7 @@
 
 namespace stoat::control {
 
-/// See the top of this file.
+/// Sends load orders, report requests and cache-event polls to engines and KV stores over HTTP.
 class EngineClient : public EngineInterface {
  public:
   EngineClient(EventLoop& loop, FleetHttpInterface interface)
--- a/src/control/fleet_admin_api.h
+++ b/src/control/fleet_admin_api.h
@@ -7,7 +7,8 @@
 
 namespace stoat::control {
 
-/// See the top of this file. Must outlive the servers that its routes were added to.
+/// Registers the HTTP routes of a control member and passes their requests to its FleetServer. Must outlive
+/// the servers that its routes were added to.
 class FleetAdminApi {
  public:
   /// `directory_lifetime_s`: how long clients may use a reply of the directory, in seconds.
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -58,7 +58,8 @@
   std::string cache_events = "/v1/cache-events";
 };
 
-/// See the top of this file.
+/// The names by which a control member reads and writes HTTP messages of operators, backends, engines and
+/// clients.
 struct FleetHttpInterface {
   JsonFieldNames field_names;
   FleetPaths paths;
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -77,7 +77,7 @@
   kMoveAway,  ///< to another member: this one is cut off from the leader
 };
 
-/// See the top of this file.
+/// One control-plane member, with its replicated log, its registry of backends and routers, and its rollouts.
 class FleetServer {
  public:
   /// Throws std::runtime_error if the state on disk is damaged or cannot be written, or if the internal
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -63,7 +63,8 @@
   }
 };
 
-/// See the top of this file.
+/// The soft state of one control member: applies heartbeats, router statuses and updates of other members,
+/// and builds the updates for other members and for this member's routers.
 class FleetSoftState {
  public:
   explicit FleetSoftState(SoftStateOptions options);
--- a/src/delivery/event_splitter.h
+++ b/src/delivery/event_splitter.h
@@ -15,7 +15,7 @@
   std::optional<int64_t> id;  ///< nullopt: none, or not an integer
 };
 
-/// See the head of this file.
+/// Buffers the bytes of one stream and hands out each event once it is complete.
 class EventSplitter {
  public:
   /// Appends the next bytes and calls `on_event(const StreamEvent&)` for each event that is now complete. The
--- a/src/delivery/outlier_detector.h
+++ b/src/delivery/outlier_detector.h
@@ -16,7 +16,7 @@
   double max_ejected_share = 0.5;  ///< upper limit of the ejected share of known back ends
 };
 
-/// See the head of this file.
+/// Counts the consecutive failures of each back end, and decides which ones are ejected or probed.
 class OutlierDetector {
  public:
   /// State of one back end. Half-open: after its ejection, a single request probes it.
--- a/src/delivery/retry_budget.h
+++ b/src/delivery/retry_budget.h
@@ -48,7 +48,8 @@
   TimePoint since_{0};
 };
 
-/// See the head of this file. One for each service.
+/// Counts the requests and retries of one service in a sliding window, and decides whether another retry is
+/// allowed. One for each service.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetOptions& options) : options_(options) {}
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -150,8 +150,8 @@
   bool moves_cache = false;  ///< the engine loads KV cache from elsewhere
 };
 
-/// See the head of this file. Lives until its final response or the caller's disconnect; on_done is then
-/// called.
+/// One caller request in progress, with the exchange of its current attempt. Lives until its final response
+/// or the caller's disconnect; on_done is then called.
 class ActiveRequest : public ExchangeListener, public std::enable_shared_from_this<ActiveRequest> {
  public:
   using DoneHandler = std::function<void(ActiveRequest*)>;
--- a/src/dispatch/backend_backoff.h
+++ b/src/dispatch/backend_backoff.h
@@ -9,7 +9,7 @@
 
 namespace stoat::dispatch {
 
-/// See the head of this file. One for each incarnation of a back end.
+/// The backoff of one incarnation of a back end, and the recovery after it.
 class BackendBackoff {
  public:
   /// The back end refused a request and wants none until then.
--- a/src/dispatch/backend_connection.h
+++ b/src/dispatch/backend_connection.h
@@ -39,7 +39,7 @@
   virtual void on_exchange_failure(ExchangeFailure failure) = 0;
 };
 
-/// See the head of this file.
+/// One connection to a back end, which carries one exchange at a time and may be reused for the next.
 class BackendConnection : public http1::MessageSink, public std::enable_shared_from_this<BackendConnection> {
  public:
   /// True if a response head belongs to the request that was sent. Other responses are skipped.
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -66,7 +66,7 @@
   }
 };
 
-/// See the head of this file.
+/// The back ends that this router knows, by id and by service, with their connections and load.
 class BackendPool {
  public:
   explicit BackendPool(EventLoop& loop, topology::Topology topology = {})
--- a/src/dispatch/service_ring.h
+++ b/src/dispatch/service_ring.h
@@ -15,7 +15,7 @@
 struct Backend;
 using BackendPtr = std::shared_ptr<Backend>;
 
-/// See the head of this file.
+/// The ring of one service's back ends, from which the subset for a key is taken.
 class ServiceRing {
  public:
   void add(const BackendPtr& backend);
--- a/src/dispatch/store_set.h
+++ b/src/dispatch/store_set.h
@@ -17,7 +17,7 @@
   placement::KvCacheEstimate memory{placement::kStoreHoldTime};
 };
 
-/// See the head of this file.
+/// The KV cache stores that respond, and the assignment of prompt chains to them.
 class StoreSet {
  public:
   /// Removes a store that does not respond. It counts as empty when it is added again.
--- a/src/placement/kv_cache_estimate.h
+++ b/src/placement/kv_cache_estimate.h
@@ -50,7 +50,8 @@
   TimePoint until{0};
 };
 
-/// See the top of this file. Each part counts only for the version of the weights that computed it.
+/// The prompt parts that one KV cache is estimated to hold. Each part counts only for the version of the
+/// weights that computed it.
 class KvCacheEstimate {
  public:
   explicit KvCacheEstimate(Duration hold_time = kHoldTime) : hold_time_(hold_time) {}
--- a/src/placement/transfer_costs.h
+++ b/src/placement/transfer_costs.h
@@ -13,7 +13,8 @@
 
 namespace stoat::placement {
 
-/// See the top of this file. Times are in milliseconds.
+/// The costs of transfers between engines and from stores, and the comparison with computing the cache anew.
+/// Times are in milliseconds.
 struct TransferCosts {
   double setup_ms = 4.0;
   /// Between engines of one zone; the default applies if the configuration has no link speed.
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -12,7 +12,7 @@
 
 namespace stoat::routing {
 
-/// See the top of this file.
+/// The routes, services and tenants of one configuration, indexed for lookups.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const fleet::FleetConfiguration> configuration);
--- a/tests/support/delayed_actions.h
+++ b/tests/support/delayed_actions.h
@@ -9,7 +9,8 @@
 
 namespace stoat::test {
 
-/// See the top of this file. Actions due at the same time run in the order in which they were added.
+/// A queue of actions by the time at which they are due. Actions due at the same time run in the order in
+/// which they were added.
 class DelayedActions {
  public:
   void add(TimePoint due, std::function<void()> action) { pending_.emplace(due, std::move(action)); }
--- a/tests/support/fake_engine.h
+++ b/tests/support/fake_engine.h
@@ -15,7 +15,8 @@
   double end_ms = 0;
 };
 
-/// See the top of this file. `now_ms` must not decrease from one call to the next.
+/// Computes when each request of a simulated engine produces its first event and frees its slot. `now_ms`
+/// must not decrease from one call to the next.
 class FakeEngine {
  public:
   /// `first_event_delay_ms`: time from the end of a request's prefill to its first event.
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -28,7 +28,7 @@
   uint64_t seed = 1;
 };
 
-/// See the top of this file.
+/// The simulated routers, leader and rate-limited backend, and the times of all requests sent to the backend.
 class PermitFleet {
  public:
   /// Length of the window in which sent requests are counted.
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -39,7 +39,8 @@
   uint64_t seed = 1;
 };
 
-/// See the top of this file.
+/// The simulated routers and control members, and the times and costs of all requests admitted for the
+/// tenant.
 class QuotaFleet {
  public:
   explicit QuotaFleet(const QuotaFleetOptions& options) : options_(options), random_(options.seed) {
--- a/tests/support/simulated_rollout.h
+++ b/tests/support/simulated_rollout.h
@@ -101,7 +101,8 @@
   return conditions;
 }
 
-/// See the top of this file.
+/// One simulated rollout with given conditions and a seed. Records its outcome, and whether a faulty version
+/// received too many requests or was rolled back too late.
 class SimulatedRollout {
  public:
   SimulatedRollout(const RolloutConditions& conditions, uint64_t seed)
