--- a/src/delivery/outlier_detector.h
+++ b/src/delivery/outlier_detector.h
@@ -1,4 +1,4 @@
-/// Outlier detection: ejects back ends that fail repeatedly for a while, then lets a single request probe
+/// Outlier detection: ejects backends that fail repeatedly for a while, then lets a single request probe
 /// each.
 #pragma once
 
@@ -13,13 +13,13 @@
   uint32_t failures_to_eject = 3;  ///< consecutive failures
   Duration base_ejection = 1s;     ///< doubled with each further ejection
   Duration max_ejection = 30s;
-  double max_ejected_share = 0.5;  ///< upper limit of the ejected share of known back ends
+  double max_ejected_share = 0.5;  ///< upper limit of the ejected share of known backends
 };
 
-/// Counts the consecutive failures of each back end, and decides which ones are ejected or probed.
+/// Counts the consecutive failures of each backend, and decides which ones are ejected or probed.
 class OutlierDetector {
  public:
-  /// State of one back end. Half-open: after its ejection, a single request probes it.
+  /// State of one backend. Half-open: after its ejection, a single request probes it.
   struct State {
     uint32_t failures = 0;
     uint32_t ejections = 0;
@@ -27,30 +27,30 @@
     TimePoint probe_until{0};  ///< time-out of the current probe; 0: none
     bool half_open = false;
   };
-  /// Refers to a back end without a lookup by name. Valid until the back end is forgotten.
+  /// Refers to a backend without a lookup by name. Valid until the backend is forgotten.
   using Handle = const State*;
 
   explicit OutlierDetector(const OutlierSettings& settings = {}) : settings_(settings) {}
 
   void on_success(const std::string& backend);
   void on_failure(const std::string& backend, TimePoint now);
-  /// Nothing listens at the back end's address, or its host does not respond: it has most likely crashed, and
+  /// Nothing listens at the backend's address, or its host does not respond: it has most likely crashed, and
   /// is ejected at once.
   void on_unreachable(const std::string& backend, TimePoint now);
-  /// True if the back end may be sent a request now.
+  /// True if the backend may be sent a request now.
   static bool usable(Handle backend, TimePoint now) {
     return now >= backend->ejected_until && (!backend->half_open || now >= backend->probe_until);
   }
-  /// Records that a request is sent there. A half-open back end gets no other until its outcome, or the
+  /// Records that a request is sent there. A half-open backend gets no other until its outcome, or the
   /// time-out.
   void on_dispatch(const std::string& backend, TimePoint now);
-  /// Number of back ends that are ejected now.
+  /// Number of backends that are ejected now.
   size_t ejected(TimePoint now) const;
-  /// Removes a back end that no longer exists.
+  /// Removes a backend that no longer exists.
   void forget(const std::string& backend) { states_.erase(backend); }
-  /// Adds a back end, so that it counts in max_ejected_share.
+  /// Adds a backend, so that it counts in max_ejected_share.
   void track(const std::string& backend) { states_.try_emplace(backend); }
-  /// The handle of a back end, which is added if it is not known.
+  /// The handle of a backend, which is added if it is not known.
   Handle handle_of(const std::string& backend) { return &states_[backend]; }
 
  private:
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -15,14 +15,14 @@
 constexpr int kFirstServerError = 500;
 /// A request is refused after this many engines stated that they did not execute it.
 constexpr uint32_t kMaxRefusals = 3;
-/// A back end that executes a request and from which this router has received nothing for this long is
+/// A backend that executes a request and from which this router has received nothing for this long is
 /// probed. At 400 ms, engines under load were probed as well: the cost in new connections about equalled the
 /// gain.
 constexpr Duration kSilenceBeforeProbe = 900ms;
-/// While a router that has just started knows no back end of a service, a request waits for one for up to its
+/// While a router that has just started knows no backend of a service, a request waits for one for up to its
 /// time limit divided by this. The rest of the time is left for serving it, or for the caller's retry.
 constexpr int kStartupWaitDivisor = 4;
-/// How often a waiting request searches for a back end again.
+/// How often a waiting request searches for a backend again.
 constexpr Duration kBackendPollInterval = 25ms;
 /// Maximum size of a response body, in bytes, that is buffered until the response is complete. Pieces beyond
 /// it are dropped.
@@ -102,8 +102,8 @@
 }
 
 TimePoint ActiveRequest::wait_limit() const {
-  // Applies also while no back end may take the request: one round of updates from the control plane reports
-  // back ends that have joined or are usable again.
+  // Applies also while no backend may take the request: one round of updates from the control plane reports
+  // backends that have joined or are usable again.
   const TimePoint usual = admission::wait_limit(times(), context_.admission_thresholds);
   if (context_.pool.count(plan_.service) > 0) {
     return usual;
@@ -378,7 +378,7 @@
   if (!known_not_executed && runs_ >= plan_.route->attempts) {
     return "all attempts of the route are used";
   }
-  // A request that never reached a back end put no load on the service, and is not charged to the retry
+  // A request that never reached a backend put no load on the service, and is not charged to the retry
   // budget.
   if (not_delivered || context_.budget_of(plan_.service).take(now, context_.router_count_estimate.count())) {
     return nullptr;
@@ -396,7 +396,7 @@
 
 void ActiveRequest::on_not_run(bool delivered) {
   outcome_unknown_ = false;
-  refusals_ += delivered ? 1 : 0;  // a failed connection costs nothing, and each back end is tried only once
+  refusals_ += delivered ? 1 : 0;  // a failed connection costs nothing, and each backend is tried only once
   delivered_ = delivered;
   if (resumed_from_backup_) {
     fail_request("no copy of the run");
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -1,4 +1,4 @@
-/// Handles one caller request from acceptance to its single final response: chooses a back end, sends the
+/// Handles one caller request from acceptance to its single final response: chooses a backend, sends the
 /// request, relays the response, and retries where that is allowed.
 #pragma once
 
@@ -47,10 +47,10 @@
 inline constexpr uint32_t kMaxUrgency = 9;
 inline constexpr uint32_t kRoutePriorities = 3;
 
-/// Number of back ends that a request is placed among. Large enough to serve a prompt prefix shared by a
+/// Number of backends that a request is placed among. Large enough to serve a prompt prefix shared by a
 /// tenth of a large fleet's requests, while a router's work per request does not grow with the fleet.
 inline constexpr size_t kSubsetSize = 256;
-/// Factor by which the subset is enlarged while none of its back ends has a free slot.
+/// Factor by which the subset is enlarged while none of its backends has a free slot.
 inline constexpr size_t kSubsetGrowthFactor = 4;
 
 /// Formats the value of a Retry-After header: seconds with two decimals.
@@ -76,9 +76,9 @@
   StoreSet stores = {};
   /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
   std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
-  /// Reports to the control plane that a back end could not be reached.
+  /// Reports to the control plane that a backend could not be reached.
   std::function<void(const std::string&)> report_unreachable = [](const std::string&) {};
-  /// Confirms as crashes the broken exchanges at a back end that ended without deregistering. `sign` names
+  /// Confirms as crashes the broken exchanges at a backend that ended without deregistering. `sign` names
   /// how this was detected: "refused", "gone" or "lost".
   std::function<void(Backend&, const char* sign)> note_crash = [](Backend&, const char*) {};
   placement::PlacementCosts costs = {};
@@ -90,7 +90,7 @@
   std::map<std::string, placement::CallDuration> call_times =
       {};  ///< of requests without a prompt, by service
   admission::QuotaEnforcer quotas{{}, 0};
-  /// End of the start-up phase, in which a service without known back ends may still have some.
+  /// End of the start-up phase, in which a service without known backends may still have some.
   TimePoint startup_ends_at{0};
   admission::BackendLimits limits = {};
   /// Asks the control plane for the permits that requests need (see BackendLimits::note_unmet_request).
@@ -107,7 +107,7 @@
   }
 };
 
-/// Marks the broken exchanges at a back end that precede `sent_at` as survived. Called when the back end has
+/// Marks the broken exchanges at a backend that precede `sent_at` as survived. Called when the backend has
 /// begun to respond to a request sent at that time.
 void note_survival(DispatchContext& context, Backend& backend, TimePoint sent_at);
 
@@ -166,7 +166,7 @@
   /// the engine. `reason`: outcome for the log.
   void cancel(const char* reason);
   const edge::ResponseWriter* answer() const { return answer_.get(); }
-  /// Probes the back end if it has sent nothing for kSilenceBeforeProbe, and fails the exchange if such a
+  /// Probes the backend if it has sent nothing for kSilenceBeforeProbe, and fails the exchange if such a
   /// probe found it unreachable. To be called several times a second.
   void check_silence();
 
@@ -185,63 +185,63 @@
   void arm_timer(TimePoint at);
   void on_timer();
   void try_dispatch();
-  /// Latest time until which it may wait for a back end, or for a slot at one.
+  /// Latest time until which it may wait for a backend, or for a slot at one.
   TimePoint wait_limit() const;
   /// Schedules another try_dispatch() after kBackendPollInterval.
   void schedule_poll();
   void log_waiting();
-  /// Back ends that could execute the request.
+  /// Backends that could execute the request.
   struct Candidates {
     std::vector<BackendPtr> usable;
     std::vector<BackendPtr> unhealthy;    ///< used only if none is usable
     std::vector<BackendPtr> limited;      ///< usable except for their rate limit
     std::vector<BackendPtr> backing_off;  ///< usable except that they asked for no requests for a while
-    /// The usable back ends, or the unhealthy ones if there are none.
+    /// The usable backends, or the unhealthy ones if there are none.
     const std::vector<BackendPtr>& best_available() const { return usable.empty() ? unhealthy : usable; }
   };
-  /// Searches a subset of the service's back ends, and enlarges it while none in it has a free slot.
+  /// Searches a subset of the service's backends, and enlarges it while none in it has a free slot.
   Candidates find_candidates() const;
-  /// Back ends that the request may be sent to now.
+  /// Backends that the request may be sent to now.
   std::vector<BackendPtr> candidates() const { return find_candidates().best_available(); }
-  /// Sorts back ends into `candidates` by whether they may get the request; drops those that may not.
+  /// Sorts backends into `candidates` by whether they may get the request; drops those that may not.
   void classify_candidates(const std::vector<BackendPtr>& considered, Candidates& candidates) const;
-  /// Asks for permits for rate-limited back ends that the request could be sent to.
+  /// Asks for permits for rate-limited backends that the request could be sent to.
   void request_candidate_permits(const Candidates& found);
-  /// Earliest time at which one of these back ends may be sent to; nullopt: the control plane has not
+  /// Earliest time at which one of these backends may be sent to; nullopt: the control plane has not
   /// answered.
   std::optional<TimePoint> earliest_permit_time(const std::vector<std::string>& limited) const;
   /// Lets the request wait for a permit for one of these, or refuses it with `reason` if none comes in time.
   void wait_for_permit(const std::vector<std::string>& limited, const char* reason);
-  // request_crashes.cc: requests under which back ends crash
-  /// True if the request may not be sent now because back ends crashed under it. It then waits for a trial
+  // request_crashes.cc: requests under which backends crash
+  /// True if the request may not be sent now because backends crashed under it. It then waits for a trial
   /// permit, or has been refused.
   bool blocked_by_crashes();
   /// For a suspect: returns false if it may be sent now, else lets it wait for a trial permit.
   bool wait_for_trial();
   void refuse_for_crashes(const admission::StandingReason& reason);
-  /// True if enough back ends crashed under the request that it is a suspect: it is sent to one back end at a
+  /// True if enough backends crashed under the request that it is a suspect: it is sent to one backend at a
   /// time, and not retried after a failure.
   bool suspected() const;
   /// Uses the trial permit of a suspect that is being sent.
   void spend_trial();
-  /// Returns the permit used by the current attempt if the request did not reach its back end.
+  /// Returns the permit used by the current attempt if the request did not reach its backend.
   void return_trial_permit();
-  /// Records that the exchange broke off at a back end, which may have crashed.
+  /// Records that the exchange broke off at a backend, which may have crashed.
   void note_broken_exchange(const BackendPtr& backend);
   /// Clears the request of earlier crashes, since it has now completed.
   void clear_crash_suspicion();
   /// Key of the request's subset of the service: the hash of the shareable part of its prompt, or of the
   /// request id if it has no prompt.
   uint64_t subset_key() const;
-  /// Ready and draining back ends of the subset, whose KV cache may be loaded. `candidates`: minimum size of
+  /// Ready and draining backends of the subset, whose KV cache may be loaded. `candidates`: minimum size of
   /// the subset.
   std::vector<BackendPtr> cache_sources_in_subset(size_t candidates) const;
-  /// Ready back ends of the subset.
+  /// Ready backends of the subset.
   std::vector<BackendPtr> ready_in_subset() const;
   placement::EngineView view_of(const Backend& backend, double mean_others_outstanding) const;
-  /// The known load of a back end. `mean_others_outstanding`: see EngineQueue.
+  /// The known load of a backend. `mean_others_outstanding`: see EngineQueue.
   placement::EngineQueue queue_of(const Backend& backend, double mean_others_outstanding) const;
-  /// Mean number of other routers' requests per ready back end of the subset.
+  /// Mean number of other routers' requests per ready backend of the subset.
   double mean_others_outstanding() const;
   /// Records the forecast for the attempt that is about to be sent.
   void expect_first_event(double mean_others_outstanding);
@@ -249,7 +249,7 @@
   void observe_first_event_latency();
   /// Updates the latency model with how long the completed run at backend_ occupied a slot.
   void observe_run_time() const;
-  /// Keeps those back ends whose software version the request is to go to.
+  /// Keeps those backends whose software version the request is to go to.
   std::vector<BackendPtr> filter_by_version(std::vector<BackendPtr> found) const;
   /// Counts the attempt at backend_, and below its outcome, while its service has a rollout in progress.
   void record_rollout_send();
@@ -258,10 +258,10 @@
   void record_rollout_failure(ExchangeFailure failure);
   /// Decides whether the request is in the share sent to the version on trial (the canary).
   void sample_for_trial();
-  /// True if the software versions of both back ends allow the run at `origin` to resume from its backup at
+  /// True if the software versions of both backends allow the run at `origin` to resume from its backup at
   /// `backup_engine`.
   bool may_resume_at(const Backend& backup_engine, const Backend& origin) const;
-  /// How long the weights of a back end have been out of date; nullopt if they are current.
+  /// How long the weights of a backend have been out of date; nullopt if they are current.
   std::optional<Duration> outdated_for(const Backend& backend) const;
   uint32_t urgency() const;
   admission::RequestTimes times() const;
@@ -285,7 +285,7 @@
   /// Records that the engine, and the store that it writes to, now hold the prompt's shared parts, and
   /// announces it to the other routers.
   void note_prompt_cached();
-  /// True if a back end can hold the backup of a run, or resume from it.
+  /// True if a backend can hold the backup of a run, or resume from it.
   bool may_hold_backup(const Backend& backend) const;
   /// The engine for the backup of a run at `target`; nullptr if the route or service makes none, or none
   /// fits.
@@ -313,35 +313,35 @@
   /// caller's request.
   bool is_router_header(const std::string& name) const;
   /// Why the request may not be retried; nullptr if it may. A retry is then charged to the retry budget,
-  /// unless the request never reached a back end. `known_not_executed`: the last back end is known not to
+  /// unless the request never reached a backend. `known_not_executed`: the last backend is known not to
   /// have executed it.
   const char* retry_denial_reason(bool known_not_executed);
   /// See retry_denial_reason(); logs the reason if the request may not be retried.
   bool may_retry(bool known_not_executed);
   /// True if the response was later, or paused longer, than the objectives of its route.
   bool missed_objective(TimePoint now) const;
-  /// Retries or fails a request that was not executed. `delivered`: the back end received and refused it;
+  /// Retries or fails a request that was not executed. `delivered`: the backend received and refused it;
   /// else no connection was made.
   void on_not_run(bool delivered);
   /// Detaches from backend_ and its connection, which is kept for reuse or closed.
   void finish_exchange(bool keep_connection);
   /// Pauses or resumes reading the response, following the caller's reading speed.
   void on_flow_control(bool paused);
-  /// Records that the back end has sent data.
+  /// Records that the backend has sent data.
   void note_activity();
   /// Removes this request's tokens from the pending prefill of backend_.
   void release_pending_prefill();
-  /// Takes a newer weights version of the back end from the response head.
+  /// Takes a newer weights version of the backend from the response head.
   void note_weights(const http1::Headers& headers);
-  /// Uses a permit of the back end that the request is sent to, if it has a rate limit.
+  /// Uses a permit of the backend that the request is sent to, if it has a rate limit.
   void spend_permit(const Backend& backend);
   /// Applies the rate limit stated in the response head, or its removal.
   void note_rate_limit(const http1::Headers& headers);
-  /// Marks the back end as draining if the response head says that it is shutting down.
+  /// Marks the backend as draining if the response head says that it is shutting down.
   void note_leaving(const http1::Headers& headers);
-  /// Applies the Retry-After of a back end that refused the request with 503.
+  /// Applies the Retry-After of a backend that refused the request with 503.
   void apply_backoff(const http1::Headers& headers);
-  /// Lets the request wait for the first of these back ends whose backoff ends, or refuses it if that is too
+  /// Lets the request wait for the first of these backends whose backoff ends, or refuses it if that is too
   /// late.
   void wait_for_backoff(const std::vector<BackendPtr>& backing_off);
   /// Sends an event to the caller unless the caller already has it.
@@ -377,7 +377,7 @@
   bool finished_ = false;
   Executed executed_ = Executed::kNo;
   bool outcome_unknown_ = false;  ///< the last attempt may have been executed, or may yet be
-  bool delivered_ = true;         ///< the last back end that did not execute it had received it
+  bool delivered_ = true;         ///< the last backend that did not execute it had received it
   uint32_t runs_ = 0;             ///< engines that may have executed it
   uint32_t refusals_ = 0;         ///< engines that stated that they did not execute it
   std::set<std::string> tried_;
@@ -405,7 +405,7 @@
   std::string body_;
   delivery::EventSplitter splitter_;
   bool trial_permit_used_ = false;        ///< the current attempt used a permit and has not returned it
-  bool paused_ = false;                   ///< the caller reads too slowly; the back end is not read
+  bool paused_ = false;                   ///< the caller reads too slowly; the backend is not read
   bool streaming_ = false;                ///< the response head has been sent to the caller
   std::optional<int64_t> last_event_id_;  ///< of the last event that the caller has
   TimePoint first_event_at_{0};
--- a/src/dispatch/backend_backoff.h
+++ b/src/dispatch/backend_backoff.h
@@ -1,4 +1,4 @@
-/// When a back end that asked for a backoff may be sent to again. The backoff applies to this router only.
+/// When a backend that asked for a backoff may be sent to again. The backoff applies to this router only.
 /// After it, a single request is sent there, and others follow once that was accepted. Does no I/O.
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace stoat::dispatch {
 
-/// The backoff of one incarnation of a back end, and the recovery after it.
+/// The backoff of one incarnation of a backend, and the recovery after it.
 class BackendBackoff {
  public:
-  /// The back end refused a request and wants none until then.
+  /// The backend refused a request and wants none until then.
   void begin(TimePoint until) {
     until_ = std::max(until_, until);
     recovering_ = true;
   }
-  /// The back end accepted a request. During the backoff this is ignored: the request was sent before it
+  /// The backend accepted a request. During the backoff this is ignored: the request was sent before it
   /// began.
   void on_accepted(TimePoint now) { recovering_ = recovering_ && now < until_; }
   /// True if a request may be sent now. `outstanding`: requests of this router in progress there.
--- a/src/dispatch/backend_connection.cc
+++ b/src/dispatch/backend_connection.cc
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// A connection is abandoned if the back end's host acknowledges nothing for this long.
+/// A connection is abandoned if the backend's host acknowledges nothing for this long.
 constexpr Duration kUnresponsiveTimeout = 1500ms;
 /// Connection timeout of 300 ms: a round trip takes some milliseconds. The request was certainly not
 /// executed, and can go elsewhere at once.
 constexpr timeval kConnectTimeout{0, 300000};
-/// An idle connection is not used in this last part of the time for which the back end keeps it open.
+/// An idle connection is not used in this last part of the time for which the backend keeps it open.
 constexpr Duration kIdleMargin = 400ms;
-/// Idle time-out assumed for back ends that do not state one.
+/// Idle time-out assumed for backends that do not state one.
 constexpr Duration kDefaultIdleTimeout = 4s;
 
 /// The time-out stated in the Keep-Alive header, or the default.
--- a/src/dispatch/backend_connection.h
+++ b/src/dispatch/backend_connection.h
@@ -1,4 +1,4 @@
-/// An HTTP/1.1 client connection to a back end: sends a request, parses the response strictly, and determines
+/// An HTTP/1.1 client connection to a backend: sends a request, parses the response strictly, and determines
 /// whether the connection can be reused.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace stoat::dispatch {
 
-/// Status with which a back end refuses a request that is addressed to another one.
+/// Status with which a backend refuses a request that is addressed to another one.
 inline constexpr int kMisdirected = 421;
 
 /// Why an exchange ended without a complete response.
@@ -39,7 +39,7 @@
   virtual void on_exchange_failure(ExchangeFailure failure) = 0;
 };
 
-/// One connection to a back end, which carries one exchange at a time and may be reused for the next.
+/// One connection to a backend, which carries one exchange at a time and may be reused for the next.
 class BackendConnection : public http1::MessageSink, public std::enable_shared_from_this<BackendConnection> {
  public:
   /// True if a response head belongs to the request that was sent. Other responses are skipped.
@@ -57,13 +57,13 @@
             ResponseMatcher matches_request);
   /// Closes at once, without a call to the listener.
   void close();
-  /// Pauses or resumes reading the response. While it is paused, TCP flow control holds back the back end.
+  /// Pauses or resumes reading the response. While it is paused, TCP flow control holds back the backend.
   void set_reading(bool reading);
   bool connected() const { return connected_; }
   /// True if the peer's host refused the connection because nothing listens at the address.
   bool refused() const { return refused_; }
   bool usable() const { return connection_ != nullptr && reusable_; }
-  /// Time until which an idle connection can be used before the back end closes it, by its Keep-Alive header.
+  /// Time until which an idle connection can be used before the backend closes it, by its Keep-Alive header.
   TimePoint idle_until() const { return idle_until_; }
 
   bool on_head() override;
--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Minimum time between probes of a silent back end.
+/// Minimum time between probes of a silent backend.
 constexpr Duration kProbeInterval = 500ms;
 /// Connecting takes some milliseconds unless the SYN packet is lost, which would be sent again only after a
 /// second.
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -1,4 +1,4 @@
-/// This router's view of the back ends: their records from the registry, the connections to each, and its own
+/// This router's view of the backends: their records from the registry, the connections to each, and its own
 /// requests in progress there.
 #pragma once
 
@@ -21,20 +21,20 @@
 
 namespace stoat::dispatch {
 
-/// Result of a probe, which is an attempt to connect to a back end.
+/// Result of a probe, which is an attempt to connect to a backend.
 enum class ProbeResult : uint8_t {
   kReached,
   kRefused,    ///< its host refused the connection: nothing listens there
   kUnanswered  ///< timed out, or the new connection was closed at once
 };
 
-/// An exchange that broke off at a back end that may have crashed.
+/// An exchange that broke off at a backend that may have crashed.
 struct BrokenExchange {
   uint64_t request = 0;  ///< fingerprint of the request
   TimePoint at{0};       ///< when the exchange broke off
 };
 
-/// One incarnation of a back end.
+/// One incarnation of a backend.
 struct Backend {
   fleet::BackendRecord record;
   Endpoint endpoint;
@@ -66,7 +66,7 @@
   }
 };
 
-/// The back ends that this router knows, by id and by service, with their connections and load.
+/// The backends that this router knows, by id and by service, with their connections and load.
 class BackendPool {
  public:
   explicit BackendPool(EventLoop& loop, topology::Topology topology = {})
@@ -75,14 +75,14 @@
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  /// Adds a back end, or updates its record.
+  /// Adds a backend, or updates its record.
   void put(const fleet::BackendRecord& record);
-  /// Removes a back end that is no longer in the registry. Requests in progress there continue.
+  /// Removes a backend that is no longer in the registry. Requests in progress there continue.
   void remove(const std::string& id);
   std::set<std::string> ids() const;
-  /// Applies retirements. They are permanent, also for back ends that are not known yet.
+  /// Applies retirements. They are permanent, also for backends that are not known yet.
   void retire(const std::vector<fleet::RetiredBackend>& retired);
-  /// Sets the load of all routers together at a back end, this router's included.
+  /// Sets the load of all routers together at a backend, this router's included.
   void set_total_load(const fleet::BackendLoad& load);
   /// Records the own loads that this router has published. The totals will include them soon.
   void set_published_loads(const std::vector<fleet::BackendLoad>& loads);
@@ -96,22 +96,22 @@
   void forget_holdings();
   /// Records a model's weights version stated in a response. It never decreases within one incarnation.
   static void note_version(Backend& backend, const std::string& model, uint64_t version);
-  /// Number of known back ends of a service, including draining and gone ones.
+  /// Number of known backends of a service, including draining and gone ones.
   size_t count(const std::string& service) const;
-  /// The `size` back ends of a service that follow a key (see ServiceRing), without those whose state is
+  /// The `size` backends of a service that follow a key (see ServiceRing), without those whose state is
   /// after `state`.
   std::vector<BackendPtr> subset(const std::string& service, uint64_t key, size_t size,
                                  fleet::BackendState state = fleet::BackendState::kReady) const;
-  /// All known back ends of a service, including draining and gone ones.
+  /// All known backends of a service, including draining and gone ones.
   std::vector<BackendPtr> of_service(const std::string& service) const {
     return subset(service, 0, count(service), fleet::BackendState::kGone);
   }
-  /// nullptr if the back end is not known.
+  /// nullptr if the backend is not known.
   BackendPtr find(const std::string& id) const;
-  /// Counts a request of this router that begins, or ends, at a back end.
+  /// Counts a request of this router that begins, or ends, at a backend.
   void begin_request(const BackendPtr& backend);
   void end_request(const BackendPtr& backend);
-  /// Loads of back ends with own requests in progress, to be published to the other routers.
+  /// Loads of backends with own requests in progress, to be published to the other routers.
   std::vector<fleet::BackendLoad> own_loads() const;
 
   /// Returns an idle connection or a new one; nullptr if no socket could be created.
@@ -120,16 +120,16 @@
   void release(const BackendPtr& backend, const std::shared_ptr<BackendConnection>& connection);
   /// Closes a connection, which cancels its request.
   void discard(const BackendPtr& backend, const std::shared_ptr<BackendConnection>& connection);
-  /// Probes a silent back end by connecting to it, at most once per kProbeInterval. A connection that is made
+  /// Probes a silent backend by connecting to it, at most once per kProbeInterval. A connection that is made
   /// is kept for later requests.
   void probe(const BackendPtr& backend);
-  /// Probes a back end at once, to distinguish a broken connection from a crash. A probe that is still
+  /// Probes a backend at once, to distinguish a broken connection from a crash. A probe that is still
   /// connecting is used for this.
   void check(const BackendPtr& backend);
   using ProbeHandler = std::function<void(const BackendPtr&, ProbeResult)>;
   /// Sets the callback for the result of each probe.
   void set_probe_handler(ProbeHandler handler) { on_probe_ended_ = std::move(handler); }
-  /// True if a back end is healthy: not lost, not loading weights, and not ejected for failures.
+  /// True if a backend is healthy: not lost, not loading weights, and not ejected for failures.
   bool is_sound(const Backend& backend);
   delivery::OutlierDetector& outliers() { return outliers_; }
   uint64_t connections_opened() const { return connections_opened_; }
--- a/src/dispatch/health_check.h
+++ b/src/dispatch/health_check.h
@@ -1,5 +1,5 @@
-/// Sends a request to a back end's health path. Any response shows that the back end is alive, whatever its
-/// status, except 421 (Misdirected Request), with which another back end at the same address responds.
+/// Sends a request to a backend's health path. Any response shows that the backend is alive, whatever its
+/// status, except 421 (Misdirected Request), with which another backend at the same address responds.
 #pragma once
 
 #include <functional>
--- a/src/dispatch/number_header.h
+++ b/src/dispatch/number_header.h
@@ -1,4 +1,4 @@
-/// Parses a number that a back end states in a response header.
+/// Parses a number that a backend states in a response header.
 #pragma once
 
 #include <cstdint>
--- a/src/dispatch/rate_limit_header.h
+++ b/src/dispatch/rate_limit_header.h
@@ -1,20 +1,20 @@
-/// Response headers in which a back end limits the load that it accepts.
+/// Response headers in which a backend limits the load that it accepts.
 #pragma once
 
 #include "src/dispatch/number_header.h"
 
 namespace stoat::dispatch {
 
-/// Lower limit, in requests per second, of a stated rate limit: without any request, a back end could not
+/// Lower limit, in requests per second, of a stated rate limit: without any request, a backend could not
 /// report that its limit has ended.
 inline constexpr double kMinRateLimit = 0.25;
-/// Upper limit, in requests per second, of a stated rate limit: no back end accepts more.
+/// Upper limit, in requests per second, of a stated rate limit: no backend accepts more.
 inline constexpr double kMaxRateLimit = 1e6;
-/// Upper limit of a backoff, in seconds: a back end that asks for a longer one is tried again after this
+/// Upper limit of a backoff, in seconds: a backend that asks for a longer one is tried again after this
 /// time.
 inline constexpr double kMaxBackoffS = 600;
 
-/// Reads the requests per second that a back end accepts from all routers together. The lowest of several
+/// Reads the requests per second that a backend accepts from all routers together. The lowest of several
 /// values applies.
 inline NumberReading read_rate_limit(const http1::Headers& headers, const std::string& name) {
   return read_number(
@@ -22,7 +22,7 @@
       {kMinRateLimit, kMaxRateLimit, false, "a number of requests a second", "more than any back end takes"});
 }
 
-/// Reads the seconds for which a back end that refused a request wants no requests from this router. The
+/// Reads the seconds for which a backend that refused a request wants no requests from this router. The
 /// highest of several values applies.
 inline NumberReading read_backoff(const http1::Headers& headers, const std::string& name) {
   return read_number(headers, name, {0, kMaxBackoffS, true, "a number of seconds", "longer than any rest"});
--- a/src/dispatch/request_backoff.cc
+++ b/src/dispatch/request_backoff.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: back ends that asked for a backoff with Retry-After, or announced their shutdown.
+/// ActiveRequest: backends that asked for a backoff with Retry-After, or announced their shutdown.
 #include <algorithm>
 
 #include "src/dispatch/active_request.h"
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: selects the back ends that a request may be sent to from its subset of the service.
+/// ActiveRequest: selects the backends that a request may be sent to from its subset of the service.
 #include <algorithm>
 
 #include "src/common/hash.h"
@@ -18,7 +18,7 @@
 ActiveRequest::Candidates ActiveRequest::find_candidates() const {
   const size_t known = context_.pool.count(plan_.service);
   const auto free = [](const BackendPtr& backend) { return backend->has_free_slot(); };
-  // The sample of a version on trial is small, and drawn from all back ends of the service.
+  // The sample of a version on trial is small, and drawn from all backends of the service.
   const bool on_trial = context_.versions.find(plan_.service) != nullptr;
   for (size_t size = on_trial ? known : kSubsetSize;; size *= kSubsetGrowthFactor) {
     Candidates found;
--- a/src/dispatch/request_crashes.cc
+++ b/src/dispatch/request_crashes.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: requests under which back ends crash.
+/// ActiveRequest: requests under which backends crash.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A suspect is sent to one back end at a time in the whole fleet, at this rate: every router learns of a
+/// A suspect is sent to one backend at a time in the whole fleet, at this rate: every router learns of a
 /// crash before the next trial.
 constexpr double kTrialsPerSecond = 0.5;
 constexpr const char* kSuspectReason = "back ends crashed under the request";
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr int kGatewayTimeout = 504;
-/// Retry-After, in seconds, when no back end of the service is known: back ends send a heartbeat about every
+/// Retry-After, in seconds, when no backend of the service is known: backends send a heartbeat about every
 /// second.
 constexpr double kNoBackendRetryAfterS = 1.5;
 
--- a/src/dispatch/request_fingerprint.h
+++ b/src/dispatch/request_fingerprint.h
@@ -9,7 +9,7 @@
 
 namespace stoat::dispatch {
 
-/// A cryptographic hash (BLAKE2b) of what makes two requests equal to a back end: method, host, path with
+/// A cryptographic hash (BLAKE2b) of what makes two requests equal to a backend: method, host, path with
 /// query, caller, and body. `caller`: the tenant's name, or the access key on routes without tenants. Other
 /// headers are excluded because ids and deadlines differ between tries. Throws std::runtime_error if hashing
 /// fails to start.
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: rate limits that back ends state in their responses, for all routers together.
+/// ActiveRequest: rate limits that backends state in their responses, for all routers together.
 #include <algorithm>
 
 #include "src/dispatch/active_request.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Number of rate-limited back ends for which a request asks for permits when no other back end is available.
+/// Number of rate-limited backends for which a request asks for permits when no other backend is available.
 constexpr size_t kMaxPermitRequests = 8;
 
 }  // namespace
@@ -18,7 +18,7 @@
   if (found.limited.empty()) {
     return;
   }
-  // The first back end of the subset is the most likely one to hold the shared prefix of the prompt. It is
+  // The first backend of the subset is the most likely one to hold the shared prefix of the prompt. It is
   // sent some requests even while others have room, since its responses show when its limit ends.
   const size_t count =
       found.best_available().empty() ? std::min(kMaxPermitRequests, found.limited.size()) : 1;
@@ -61,7 +61,7 @@
   }
   context_.metrics.count("stoat_router_limited_sends_total");
   if (!context_.limits.consume_permit(id, context_.loop.now())) {
-    // Must not happen: the back end was chosen among those with a permit in the same iteration of the event
+    // Must not happen: the backend was chosen among those with a permit in the same iteration of the event
     // loop.
     context_.metrics.count("stoat_router_sends_without_permit_total");
     context_.request_log_sampler.log().error("request sent without a permit", {{"backend", id}});
@@ -69,8 +69,8 @@
 }
 
 void ActiveRequest::note_rate_limit(const http1::Headers& headers) {
-  // A response from another incarnation at the same address, or an invalid one, says nothing about this back
-  // end.
+  // A response from another incarnation at the same address, or an invalid one, says nothing about this
+  // backend.
   if (head_.status == kMisdirected || kind_ == ResponseKind::kInvalid) {
     return;
   }
--- a/src/dispatch/request_protocol.h
+++ b/src/dispatch/request_protocol.h
@@ -33,12 +33,12 @@
   std::string signature = "X-Answer-Signature";  ///< on every response made by the engine itself
   std::string not_run = "X-Not-Run";
   std::string weights_version = "X-Weights-Version";  ///< of the weights that produced the response
-  /// Requests per second that a back end accepts from all routers together, for as long as its responses
+  /// Requests per second that a backend accepts from all routers together, for as long as its responses
   /// state it.
   std::string rate_limit = "X-Rate-Limit";
-  /// Set to 1 in each response of a back end that is shutting down and wants no further requests.
+  /// Set to 1 in each response of a backend that is shutting down and wants no further requests.
   std::string leaving = "X-Leaving";
-  /// Seconds for which a back end that refuses a request with 503 wants no requests from this router.
+  /// Seconds for which a backend that refuses a request with 503 wants no requests from this router.
   std::string retry_after = "Retry-After";
 };
 
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: chooses the back end for a request, and builds and sends the request head.
+/// ActiveRequest: chooses the backend for a request, and builds and sends the request head.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -193,7 +193,7 @@
   }
   BackendPtr best;
   for (const BackendPtr& backend : context_.pool.subset(plan_.service, target.name_hash, kSubsetSize)) {
-    // A rate-limited back end might not accept a request when its backup is needed.
+    // A rate-limited backend might not accept a request when its backup is needed.
     if (!may_hold_backup(*backend) || backend->record.id == target.record.id ||
         context_.limits.per_second(backend->record.id) > 0 || !may_resume_at(*backend, target) ||
         backend->record.version_of(plan_.fields.model) != target.record.version_of(plan_.fields.model)) {
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -1,5 +1,5 @@
 /// ActiveRequest: versions. For a service with a rollout of another software version in progress: which of
-/// its back ends a request may go to, and the statistics of its responses. Also the weights version that
+/// its backends a request may go to, and the statistics of its responses. Also the weights version that
 /// produced a response.
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Removes the back ends of the version on trial that are not in the sample that receives its traffic share.
+/// Removes the backends of the version on trial that are not in the sample that receives its traffic share.
 void restrict_to_sample(std::vector<BackendPtr>& found, const fleet::ServiceRollout& rollout) {
   std::vector<std::string> ids;
   for (const BackendPtr& backend : found) {
@@ -37,7 +37,7 @@
   if (limits.rollout->phase == fleet::RolloutPhase::kTrial && in_trial_sample_) {
     restrict_to_sample(found, *limits.rollout);
   }
-  // A version all of whose back ends were already tried, or are loading weights, counts as unavailable.
+  // A version all of whose backends were already tried, or are loading weights, counts as unavailable.
   int best = rollout::VersionLimits::kNever;
   for (const BackendPtr& backend : found) {
     if (!backend->record.loading && tried_.count(backend->record.id) == 0) {
@@ -56,7 +56,7 @@
   }
   in_trial_sample_ =
       context_.versions.draw(plan_.service, plan_.route->name, context_.random.uniform_real(), plan_.arrived);
-  // The other versions may have room when the sampled back ends have none: no request waits because of a
+  // The other versions may have room when the sampled backends have none: no request waits because of a
   // trial.
   in_trial_sample_ = in_trial_sample_ && has_room();
 }
--- a/src/dispatch/service_ring.h
+++ b/src/dispatch/service_ring.h
@@ -1,7 +1,7 @@
-/// Deterministic subsetting: the back ends of one service on a ring, ordered by the hashes of their ids. A
+/// Deterministic subsetting: the backends of one service on a ring, ordered by the hashes of their ids. A
 /// request considers a subset of them, those that follow the request's key. All routers choose from the same
 /// subset for the same key without coordination, and a router's work per request does not grow with the
-/// service. If a service has no more back ends than a subset, the subset is the whole service.
+/// service. If a service has no more backends than a subset, the subset is the whole service.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,13 @@
 struct Backend;
 using BackendPtr = std::shared_ptr<Backend>;
 
-/// The ring of one service's back ends, from which the subset for a key is taken.
+/// The ring of one service's backends, from which the subset for a key is taken.
 class ServiceRing {
  public:
   void add(const BackendPtr& backend);
   void remove(const BackendPtr& backend);
   size_t size() const { return backends_.size(); }
-  /// The `count` back ends that follow a key, in ring order; all if there are fewer.
+  /// The `count` backends that follow a key, in ring order; all if there are fewer.
   std::vector<BackendPtr> subset(uint64_t key, size_t count) const;
 
  private:
--- a/tests/process/backend_limit_test.cc
+++ b/tests/process/backend_limit_test.cc
@@ -1,4 +1,4 @@
-/// Real processes: three routers, and two back ends of which one states a rate limit. The limit must hold
+/// Real processes: three routers, and two backends of which one states a rate limit. The limit must hold
 /// while the leader of the control plane is killed and a router is restarted.
 #include "tests/process/fleet_process_test.h"
 
--- a/tests/process/crashing_request_test.cc
+++ b/tests/process/crashing_request_test.cc
@@ -1,4 +1,4 @@
-/// Real processes: three routers, and back ends that crash under one request. The number of crashes must stay
+/// Real processes: three routers, and backends that crash under one request. The number of crashes must stay
 /// bounded while the leader of the control plane is killed.
 #include "src/http/blocking.h"
 #include "tests/process/fleet_process_test.h"
--- a/tests/property/outlier_property_test.cc
+++ b/tests/property/outlier_property_test.cc
@@ -1,4 +1,4 @@
-// Outlier detection: however back ends fail, at least half of them stay in use.
+// Outlier detection: however backends fail, at least half of them stay in use.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
--- a/tests/unit/crashing_request_test.cc
+++ b/tests/unit/crashing_request_test.cc
@@ -1,4 +1,4 @@
-/// Quarantine of requests that crash back ends and are sent again under other ids.
+/// Quarantine of requests that crash backends and are sent again under other ids.
 #include <deque>
 #include <map>
 
@@ -20,14 +20,14 @@
 /// Crashes that are tolerated after that.
 constexpr size_t kMaxLaterCrashes = 3;
 
-/// Three routers and six back ends of the service "calls". A back end crashes under each request with the
+/// Three routers and six backends of the service "calls". A backend crashes under each request with the
 /// body kCrashing, and is replaced by one with another id a little later.
 class CrashingRequestTest : public test::SmallFleet {
  protected:
   static constexpr size_t kRouters = 3;
   static constexpr size_t kEngines = 6;
   static constexpr const char* kCrashing = "crashing";
-  static constexpr milliseconds kNoAnswerWait{5000};  ///< before a crashed back end resets a connection
+  static constexpr milliseconds kNoAnswerWait{5000};  ///< before a crashed backend resets a connection
 
   void SetUp() override {
     ASSERT_TRUE(configure(make_configuration(1)));
@@ -39,7 +39,7 @@
       start_engine();
     }
   }
-  /// Starts one more back end.
+  /// Starts one more backend.
   void start_engine() {
     const size_t number = engines_.size();
     engines_.push_back(
@@ -61,7 +61,7 @@
     ids_.push_back("engine" + std::to_string(engines_.size()));
     add_engine(ids_.back(), "calls", *engines_.back());
   }
-  /// Closes the listeners of crashed back ends whose close time has passed.
+  /// Closes the listeners of crashed backends whose close time has passed.
   void close_due_listeners() {
     const std::lock_guard<std::mutex> lock(mutex_);
     for (const auto& [number, closes_at] : listener_close_times_) {
@@ -70,7 +70,7 @@
       }
     }
   }
-  /// Sends the heartbeats of live back ends, and replaces each crashed one.
+  /// Sends the heartbeats of live backends, and replaces each crashed one.
   void replace_crashed_engines() {
     close_due_listeners();
     for (size_t number = 0; number < engines_.size(); ++number) {
@@ -134,7 +134,7 @@
   }
 }
 
-// Guards against missing a crash while a probe of the silent back end is still open.
+// Guards against missing a crash while a probe of the silent backend is still open.
 TEST_F(CrashingRequestTest, CrashesDuringAProbeOfASilentBackEndAreCounted) {
   crash_delay_ = milliseconds(1050);  // after the first probe has connected, before it ends
   constexpr size_t kSends = 10;
@@ -149,7 +149,7 @@
   EXPECT_NE(last.find("back ends crashed under the request"), std::string::npos) << last;
 }
 
-// Guards against missing a crash while the back end's listener still accepts connections.
+// Guards against missing a crash while the backend's listener still accepts connections.
 TEST_F(CrashingRequestTest, CrashesAreCountedWhileTheListenerStillAcceptsConnections) {
   listener_close_delay_ = milliseconds(700);
   constexpr milliseconds kBetween{350};
@@ -162,7 +162,7 @@
   }
 }
 
-// Guards against refusing a suspect until the next permit when the back end chosen for it does not accept
+// Guards against refusing a suspect until the next permit when the backend chosen for it does not accept
 // connections.
 TEST_F(CrashingRequestTest, SuspectIsSentToAnotherBackEndWithTheSamePermitWhenTheConnectionFails) {
   send_to_router(0, "first", kCrashing);  // retried once: two crashes
@@ -181,7 +181,7 @@
        tries < kMaxTries && answer.find("back ends crashed under the request") != std::string::npos;
        ++tries) {
     std::this_thread::sleep_for(milliseconds(200));
-    send_engine_heartbeats();  // includes the crashed back ends
+    send_engine_heartbeats();  // includes the crashed backends
     answer =
         send_to_router(1, "trial" + std::to_string(tries), kCrashing);  // refused until there is a permit
   }
--- a/tests/unit/refused_connection_test.cc
+++ b/tests/unit/refused_connection_test.cc
@@ -1,4 +1,4 @@
-/// Detection of refused connections, which show that a back end's process is gone.
+/// Detection of refused connections, which show that a backend's process is gone.
 #include <cerrno>
 
 #include "src/dispatch/backend_connection.h"
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -1,4 +1,4 @@
-/// Back ends that ask for a backoff with Retry-After, or announce their shutdown in a response.
+/// Backends that ask for a backoff with Retry-After, or announce their shutdown in a response.
 #include <deque>
 
 #include "tests/support/small_fleet.h"
@@ -15,7 +15,7 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// Requests that reach a back end later than this after its first refusal, and before the end of its backoff,
+/// Requests that reach a backend later than this after its first refusal, and before the end of its backoff,
 /// are counted.
 constexpr milliseconds kInFlightTime{500};
 constexpr size_t kMaxDuringBackoff = 2;
--- a/tests/unit/service_ring_test.cc
+++ b/tests/unit/service_ring_test.cc
@@ -1,4 +1,4 @@
-/// Subsets and load accounting in a service of ten thousand back ends.
+/// Subsets and load accounting in a service of ten thousand backends.
 #include "src/dispatch/service_ring.h"
 
 #include <gtest/gtest.h>
