--- a/src/admission/load_admission.h
+++ b/src/admission/load_admission.h
@@ -42,7 +42,7 @@
   double busy_share = 0.5;
 };
 
-/// Decides about a request at time `now`; see the top of this file.
+/// Returns whether a request is to be sent, to wait or to be refused at time `now`.
 AdmissionVerdict decide(const RequestTimes& request, const ServiceOutlook& outlook,
                         const AdmissionThresholds& limits, TimePoint now);
 
--- a/src/consensus/replica.h
+++ b/src/consensus/replica.h
@@ -61,7 +61,7 @@
   kDuplicateMember
 };
 
-/// One Raft replica, see the top of this file.
+/// The Raft state machine of one member, driven by receive(), tick() and proposals.
 class Replica {
  public:
   Replica(const ReplicaOptions& options, const RestoredState& restored, uint64_t seed, TimePoint now);
--- a/src/control/weight_rollout.h
+++ b/src/control/weight_rollout.h
@@ -59,7 +59,7 @@
   uint64_t expected_sequence = 0;
 };
 
-/// Plans the rollout of weights; see the head of this file for the procedure.
+/// Plans the loading of new weights on all engines, and tracks the engines that are draining or loading.
 class WeightRollout {
  public:
   explicit WeightRollout(const RolloutOptions& options) : options_(options) {}
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -32,7 +32,8 @@
 /// The hash by which marks identify a backend.
 uint64_t backend_id_hash(const std::string& id);
 
-/// The registered backends and their states, see the top of this file.
+/// The registered backends and their states. Each change has a revision, so that subscribers receive only
+/// what is new to them.
 class BackendRegistry {
  public:
   explicit BackendRegistry(const RegistryOptions& options) : options_(options) {}
--- a/src/rollout/answer_aggregator.h
+++ b/src/rollout/answer_aggregator.h
@@ -18,7 +18,7 @@
 
 using AnswerTable = std::map<fleet::AnswerKey, fleet::AnswerTotals>;
 
-/// The answer counts of all routers, see the top of this file.
+/// Adds up the answer counts of all routers at one control member.
 class AnswerAggregator {
  public:
   void on_router(const fleet::RouterLoads& loads);
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -55,7 +55,7 @@
   bool covered = false;  ///< enough answers were judged on each route that needs coverage
 };
 
-/// The judge of one rollout, see the top of this file.
+/// Judges the target version of one rollout from the answer counts added so far.
 class VersionJudge {
  public:
   explicit VersionJudge(const JudgeOptions& options = {}) : options_(options) {}
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -96,7 +96,7 @@
 /// Returns the protocol version and status code of a response, such as "HTTP/1.1 200".
 inline std::string status_of(const std::string& answer) { return answer.substr(0, 12); }
 
-/// Test fixture; see the top of this file. The services are "models", which streams, and "calls". Host "h"
+/// Test fixture that runs such a fleet. The services are "models", which streams, and "calls". Host "h"
 /// has the routes /safe/, /once/ (unsafe) and /open/ (needs no key) to "calls", and /stream/ (not resumable)
 /// and /resume/ to "models". Key "k1" belongs to tenant "t1", key "k2" to tenant "t2", which is isolated.
 class SmallFleet : public ::testing::Test {
