--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -291,8 +291,8 @@
 }
 
 TEST_F(GatewayTest, BackupIsNotUsedBeforeTheFirstEvent) {
-  // Found in a bench run (TWICE): without an event to continue after, the engine takes the request as a new
-  // run.
+  // Guards against executing a request twice: without an event to continue after, the engine that holds the
+  // backup treats the request as a new run.
   const auto handler = [](const ReceivedRequest&) -> Script { return {reset_step()}; };
   ScriptedEngine engine(handler);
   ScriptedEngine other(handler);
@@ -305,7 +305,8 @@
 }
 
 TEST_F(GatewayTest, BackupIsNotUsedAfterAWeightChange) {
-  // Found in a bench run (STALE): the failed engine had new weights by the end of its run.
+  // Guards against resuming a stream from outdated weights: the failed engine had new weights by the end of
+  // its run, while the backup was made with the old ones.
   const auto handler = [&](const ReceivedRequest& request) -> Script {
     const std::string head = "HTTP/1.1 200 OK\r\n" + engine_headers_for(request.header("X-Request-Id")) +
                              "X-Weights-Version: 2\r\nTransfer-Encoding: chunked\r\n\r\n";
