--- a/src/ctl/admin_connection.cc
+++ b/src/ctl/admin_connection.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Must exceed 2.5 s: members answer within that time even if they can't reach the leader (kCallLimit of
+/// Must exceed 2.5 s: members answer within that time even if they can't reach the leader (kCallTimeout in
 /// fleet_calls.cc).
 constexpr Duration kCallTimeout = 3s;
 constexpr Duration kRetryInterval = 100ms;
