--- a/src/edge/edge_request.h
+++ b/src/edge/edge_request.h
@@ -39,8 +39,9 @@
   virtual void abort() = 0;
   /// Bytes of the response that are buffered because the client has not read them.
   virtual size_t unsent_bytes() const = 0;
-  /// Called with true when so much is buffered that nothing more should be sent, and with false when the
-  /// client has read most of it. May be empty.
+  /// Called with true when the client reads too slowly and the response bytes buffered for it exceed their
+  /// limit, so that nothing more should be sent; and with false when the client has read most of them. May be
+  /// empty.
   using FlowHandler = std::function<void(bool paused)>;
   virtual void set_flow_handler(FlowHandler handler) = 0;
 };
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -55,7 +55,7 @@
   Duration max_time_without_others =
       1500ms;  ///< after this time without backends of other versions, there is no fallback
   /// A rollback ends after this time even without all confirmations: a router that has been out of contact
-  /// for so long accepts no keys any more.
+  /// for this time no longer accepts access keys (gateway::ControlLinkOptions::key_lease).
   Duration rollback_timeout = 5s;
   Duration final_window = 400ms;  ///< time before the deadline from which a rollback waits for no router
 };
--- a/tests/unit/free_port_test.cc
+++ b/tests/unit/free_port_test.cc
@@ -13,8 +13,8 @@
 namespace {
 
 TEST(FreePort, IsOutsideTheEphemeralPortRange) {
-  // Guards against a failure seen in full CI runs beside other processes: between the choice of a port and
-  // the start of the server, the kernel gave the port to an outgoing connection of another process.
+  // Guards against a server that cannot bind its port while other processes run: between the choice of a port
+  // and the start of the server, the kernel gave the port to an outgoing connection of another process.
   std::ifstream range("/proc/sys/net/ipv4/ip_local_port_range");
   int first = 0;
   range >> first;
--- a/tests/unit/ready_notice_test.cc
+++ b/tests/unit/ready_notice_test.cc
@@ -4,7 +4,8 @@
 namespace stoat {
 namespace {
 
-/// Interval of periodic statuses: so long that none is sent during the test.
+/// Interval of periodic statuses. Longer than the test, so that the control plane can learn that the router
+/// is ready only from a status sent at once.
 constexpr Duration kStatusInterval = 60s;
 
 class ReadyNoticeTest : public test::SmallFleet {
