--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -67,8 +67,8 @@
   /// Returns the earliest time at which a request may be sent to a backend; nullopt if this depends on an
   /// answer from the control plane that has not arrived yet.
   std::optional<TimePoint> earliest_send_time(const std::string& backend, TimePoint now) const;
-  /// Builds the permit request to send to the control plane now. Its list of wishes is empty if no permits
-  /// are needed.
+  /// Builds the permit request to send to the control plane now. It lists no backends if no permits are
+  /// needed.
   fleet::PermitRequest take_permit_request(TimePoint now);
   /// Applies the answer to a permit request. Answers to requests that are no longer pending are ignored.
   void on_permit_answer(const fleet::PermitResponse& answer, TimePoint now);
--- a/src/admission/quota_allowance.h
+++ b/src/admission/quota_allowance.h
@@ -27,9 +27,9 @@
 /// know of yet.
 inline constexpr double kUsedToleranceFraction = 0.4;
 
-/// Fraction of its share of the rate that a router may spend while it hears from no control-plane member.
-/// Routers that the control plane still hears from may spend the whole rate until the control plane has
-/// noticed the others' silence.
+/// Fraction of its share of the rate that a router may spend while it receives nothing from any control-plane
+/// member. Routers whose reports still arrive at the control plane may spend the whole rate until the control
+/// plane has noticed the others' silence.
 inline constexpr double kDisconnectedRateFraction = 0.4;
 
 /// Minimum burst of a quota, in seconds of its rate. Without it, a quota that allows no burst would refuse
--- a/src/admission/retry_scheduler.h
+++ b/src/admission/retry_scheduler.h
@@ -1,7 +1,7 @@
 /// Determines when callers that were refused because of load are asked to retry: spread out at the rate at
 /// which the service can take requests, and earlier for callers with less time left.
 ///
-/// If a service that refuses many callers told all of them the same delay, they would return together and be
+/// If a service that refuses many callers gave all of them the same delay, they would return together and be
 /// refused again. Each tenant has its own queue of expected retries and an equal share of the rate, so a
 /// tenant whose callers retry immediately and often only lengthens its own queue.
 #pragma once
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -161,7 +161,7 @@
   };
   /// Fraction of the routers whose quota spending cannot reach this member now.
   double unheard_share(TimePoint now) const;
-  /// Applies a peer's heartbeat marks and answers its requests for backend records.
+  /// Applies a peer's compact heartbeats and answers its requests for backend records.
   void apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Removes the prompt parts that are not shared: they are of no use to routers of other members.
   fleet::CacheChanges filter_shared(fleet::CacheChanges changes) const;
@@ -201,8 +201,8 @@
   std::map<std::string, FollowedCache> claimed_caches_;
   std::map<std::string, Peer> peers_;  ///< by internal address
   std::set<std::string> full_state_requests_;
-  /// Keys of backends for which a peer has sent marks but no record, by the peer's address. Their records are
-  /// requested with the next update.
+  /// Keys of backends for which a peer has sent compact heartbeats but no record, by the peer's address.
+  /// Their records are requested with the next update.
   std::map<std::string, std::set<uint64_t>> missing_record_keys_;
 
   std::deque<fleet::ChainPlacement> placements_;  ///< the newest ones, oldest first
--- a/src/dispatch/request_fields.h
+++ b/src/dispatch/request_fields.h
@@ -32,8 +32,8 @@
   std::optional<int64_t> last_event_id;  ///< last event of the stream that the caller already has
 };
 
-/// Parses the fields. Missing and malformed ones stay empty; only for the token counts does the result tell
-/// the two apart.
+/// Parses the fields. Missing and malformed ones stay empty; only for the token counts does the result
+/// distinguish the two.
 RequestFields read_fields(const http1::Headers& headers, const HeaderNames& names);
 
 /// Parses a decimal integer; nullopt if the text is anything else.
--- a/src/edge/client_connection.h
+++ b/src/edge/client_connection.h
@@ -94,7 +94,7 @@
   BufferReservation request_reservation_;
   BufferReservation response_reservation_;
   FlowHandler flow_handler_;
-  bool paused_ = false;            ///< the source of the response was told to pause
+  bool paused_ = false;            ///< the source of the response was asked to pause
   uint64_t written_bytes_ = 0;     ///< bytes written to the output since the connection was opened
   uint64_t drained_at_check_ = 0;  ///< drained_bytes() at the last stall check
 };
--- a/src/edge/edge_server.h
+++ b/src/edge/edge_server.h
@@ -38,7 +38,7 @@
 
 /// What happened to slow clients, since the start.
 struct SlowReaderCounts {
-  uint64_t pauses = 0;           ///< responses whose source was told to pause
+  uint64_t pauses = 0;           ///< responses whose source was asked to pause
   uint64_t stalled_clients = 0;  ///< clients that were disconnected because they read nothing for too long
   uint64_t buffer_refusals = 0;  ///< requests refused because too much was buffered
 };
--- a/src/events/fleet_events.h
+++ b/src/events/fleet_events.h
@@ -222,7 +222,7 @@
   }
 };
 
-/// A router reports its state for the first time, becomes ready or not ready, or is no longer heard from.
+/// A router reports its state for the first time, becomes ready or not ready, or has stopped sending reports.
 struct RouterChanged {
   static constexpr const char* kMessage = "router changed";
   std::string router;
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -22,14 +22,14 @@
   Duration forget_after = 30s;  ///< time without a heartbeat after which the backend is removed
 };
 
-/// Result of a mark: a compact heartbeat that carries only the hash of the id and the sequence.
+/// Result of applying a compact heartbeat, which carries only the hash of the id and the sequence.
 enum class CompactHeartbeatResult : uint8_t {
   kApplied,
   kStale,    ///< a heartbeat with the same or a higher sequence is known, or the incarnation was replaced
   kUnknown,  ///< the backend is not known, and its full record must be requested
 };
 
-/// The hash by which marks identify a backend.
+/// The hash by which compact heartbeats identify a backend.
 uint64_t backend_id_hash(const std::string& id);
 
 /// The registered backends and their states. Each change has a revision, so that subscribers receive only
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -182,7 +182,7 @@
   MSGPACK_DEFINE_ARRAY(backend, sequence)
 };
 
-/// Asks a member for the full records of backends for which it sent only marks.
+/// Asks a member for the full records of backends for which it sent only compact heartbeats.
 struct BackendRecordRequest {
   std::string member;              ///< internal address of the member that is asked
   std::vector<uint64_t> backends;  ///< backend_id_hash() of the ids
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -124,8 +124,8 @@
   if (ids.size() <= wanted) {
     return ids;
   }
-  // The selection changes with each step, so that failures of one backend can be told from those of the
-  // version.
+  // The selection changes with each step, so that failures of one backend can be distinguished from those of
+  // the version.
   std::vector<std::pair<uint64_t, std::string>> ranked;
   ranked.reserve(ids.size());
   for (std::string& id : ids) {
--- a/tests/unit/cache_event_poller_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -236,7 +236,7 @@
   memory_.follow(&trust_);
   memory_.set_holding(1, kWeights, 1000);
   memory_.note_held({2}, kWeights, 1s);
-  // Nothing tells whether the first part is still held.
+  // No event shows whether the first part is still held.
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 0U);
   memory_.note_held({1}, kWeights, 2s);
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 1500U);
--- a/tests/unit/feed_choice_test.cc
+++ b/tests/unit/feed_choice_test.cc
@@ -34,7 +34,7 @@
   EXPECT_EQ(choose_feed_member(members, "b", "r1"), "a");
   members[1].time_since_message = 100ms;
   members[1].leader_confirmation_age =
-      gateway::kMaxLeaderConfirmationAge + 1ms;  // the member hears no leader
+      gateway::kMaxLeaderConfirmationAge + 1ms;  // the member receives no leader's confirmation
   EXPECT_EQ(choose_feed_member(members, "b", "r1"), "a");
   members[0].connected = false;
   EXPECT_EQ(choose_feed_member(members, "b", "r1"), "b");
@@ -90,7 +90,7 @@
   EXPECT_EQ(choose_feed_member(members, "", "r1"), "near");
   EXPECT_EQ(choose_feed_member(members, "near", "r1"), "near");
   members[1].time_since_connect =
-      gateway::kMaxLeaderConfirmationAge + 1ms;  // it should have heard of a leader by now
+      gateway::kMaxLeaderConfirmationAge + 1ms;  // it should have a leader's confirmation by now
   EXPECT_EQ(choose_feed_member(members, "near", "r1"), "far");
 }
 
--- a/tests/unit/fleet_soft_state_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -201,7 +201,7 @@
   ASSERT_NE(second_.loads().totals().find("e1"), nullptr);
   second_.expire(now_ + 2s);
   EXPECT_EQ(second_.loads().totals().find("e1"), nullptr);
-  exchange();  // the member is heard again, and its full state is requested
+  exchange();  // the member's updates arrive again, and its full state is requested
   exchange();
   EXPECT_NE(second_.loads().totals().find("e1"), nullptr);
 }
@@ -361,7 +361,7 @@
   EXPECT_TRUE(second_.registry().find("e1")->lost);
   first_.on_heartbeat(engine_record("e1", 3), later + 5s);
   second_.on_peer_update(first_.take_peer_update(4, true, now_), later + 5s);
-  EXPECT_FALSE(second_.registry().find("e1")->lost);  // heard again
+  EXPECT_FALSE(second_.registry().find("e1")->lost);  // its heartbeats arrive again
 }
 
 TEST_F(FleetSoftStateTest, RecordOfABackendKnownOnlyByMarksIsRequested) {
--- a/tests/unit/slow_readers_test.cc
+++ b/tests/unit/slow_readers_test.cc
@@ -19,7 +19,7 @@
 constexpr size_t kTotalBufferBytes = 4U << 20U;
 constexpr Duration kStallTimeout = 400ms;
 
-/// Responds to /long with a stream that pauses when told to, and to all else at once.
+/// Responds to /long with a stream that pauses when asked to, and to all else at once.
 class StreamingHandler : public edge::RequestHandler {
  public:
   explicit StreamingHandler(EventLoop& loop) : loop_(loop) {}
