--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -206,12 +206,12 @@
   std::map<std::string, std::set<uint64_t>> missing_record_keys_;
 
   std::deque<fleet::ChainPlacement> placements_;  ///< the newest ones, oldest first
-  uint64_t dropped_placements_ = 0;               ///< number of older ones
+  uint64_t dropped_placements_ = 0;               ///< number of older ones, no longer kept
   bool warmed_up_ = false;  ///< since the start, every live backend has had time to send a heartbeat
   uint64_t last_update_number_ = 0;
   fleet::PeerUpdate pending_update_;          ///< parts of the next update to the other members
-  std::set<std::string> pending_engine_ids_;  ///< engines whose notes the leader sends with the next update
-  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose engine notes were last applied
+  std::set<std::string> pending_engine_ids_;  ///< engines whose EngineLoadState is due in the next update
+  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose EngineLoadStates were last applied
 };
 
 }  // namespace stoat::control
--- a/src/control/member_planner.h
+++ b/src/control/member_planner.h
@@ -1,7 +1,7 @@
 /// Plans the changes of the member list that keep the replicated log at a target number of voters: joining
 /// members are added as learners, learners that have caught up become voters, and replaced voters are
 /// removed. One change is made at a time. A voter is added before another is removed, so that the log is
-/// never on fewer disks.
+/// never stored on fewer disks than before the change.
 #pragma once
 
 #include <optional>
--- a/src/control/router_link.h
+++ b/src/control/router_link.h
@@ -10,7 +10,7 @@
 
 namespace stoat::control {
 
-/// Revisions sent to a router of those lists that only grow, or that are replaced as a whole. Routers with
+/// The revisions that a router was sent of the lists that only grow or are replaced as a whole. Routers with
 /// equal revisions are sent the same message.
 struct SentRevisions {
   uint64_t retired = 0;
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -67,7 +67,7 @@
   topology::Topology topology = {};
   topology::Location place = {};  ///< location of this router
   uint32_t router_count = 1;
-  delivery::RouterCountEstimate router_count_estimate{10s};  ///< share the fixed part of the retry budget
+  delivery::RouterCountEstimate router_count_estimate{10s};  ///< of those that share the budgets' fixed part
   /// Engines with older weights are no longer used after this time since the newer version was announced.
   Duration old_weights_timeout = 6s;
   delivery::RetryBudgetOptions budget_options = {};
@@ -251,7 +251,8 @@
   void observe_run_time() const;
   /// Keeps those backends whose software version the request is to go to.
   std::vector<BackendPtr> filter_by_version(std::vector<BackendPtr> found) const;
-  /// Counts the attempt at backend_, and below its outcome, while its service has a rollout in progress.
+  /// Counts the attempt at backend_ while its service has a rollout in progress. The three functions after
+  /// this one count its outcome.
   void record_rollout_send();
   void record_rollout_first_event();
   void record_rollout_end(rollout::SendOutcome end);
--- a/src/dispatch/backend_backoff.h
+++ b/src/dispatch/backend_backoff.h
@@ -12,13 +12,13 @@
 /// The backoff of one incarnation of a backend, and the recovery after it.
 class BackendBackoff {
  public:
-  /// The backend refused a request and wants none until then.
+  /// The backend refused a request and wants no others before `until`.
   void begin(TimePoint until) {
     until_ = std::max(until_, until);
     recovering_ = true;
   }
-  /// The backend accepted a request. During the backoff this is ignored: the request was sent before it
-  /// began.
+  /// The backend accepted a request. Ignored during the backoff, since that request was sent before the
+  /// backoff began.
   void on_accepted(TimePoint now) { recovering_ = recovering_ && now < until_; }
   /// True if a request may be sent now. `outstanding`: requests of this router in progress there.
   bool may_send(uint32_t outstanding, TimePoint now) const {
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -84,7 +84,7 @@
   void retire(const std::vector<fleet::RetiredBackend>& retired);
   /// Sets the load of all routers together at a backend, this router's included.
   void set_total_load(const fleet::BackendLoad& load);
-  /// Records the own loads that this router has published. The totals will include them soon.
+  /// Records the loads that this router has just published. The totals will include them soon.
   void set_published_loads(const std::vector<fleet::BackendLoad>& loads);
   /// Marks the totals as current: the control member that reports them is connected and sends all changes.
   void note_totals_current(TimePoint now) { totals_updated_at_ = now; }
@@ -99,7 +99,7 @@
   /// Number of known backends of a service, including draining and gone ones.
   size_t count(const std::string& service) const;
   /// The `size` backends of a service that follow a key (see ServiceRing), without those whose state is
-  /// after `state`.
+  /// later in the life cycle than `state`.
   std::vector<BackendPtr> subset(const std::string& service, uint64_t key, size_t size,
                                  fleet::BackendState state = fleet::BackendState::kReady) const;
   /// All known backends of a service, including draining and gone ones.
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -17,7 +17,7 @@
 /// Settings of a registry.
 struct RegistryOptions {
   Duration lost_after = 4s;  ///< time without a heartbeat after which a backend counts as lost
-  /// The same when several routers cannot reach the backend either: one heartbeat is overdue.
+  /// The same if several routers also report it as unreachable. By then, one heartbeat is overdue.
   Duration overdue_after = 1400ms;
   Duration forget_after = 30s;  ///< time without a heartbeat after which the backend is removed
 };
@@ -70,7 +70,8 @@
   }
   /// True when a heartbeat of the backend arrived at `since` or later.
   bool has_heartbeat_since(const std::string& id, TimePoint since) const;
-  /// The same records in order of change. Sequences are left out because they change with every heartbeat.
+  /// All known backends in order of their last change. Sequences are left out because they change with every
+  /// heartbeat.
   const RevisionTable<std::string, BackendRecord>& table() const { return table_; }
 
  private:
--- a/src/gateway/feed_choice.h
+++ b/src/gateway/feed_choice.h
@@ -1,5 +1,5 @@
-/// Chooses the control member from which a router takes its feed: one that responds and has recently
-/// confirmed a leader, in the router's own zone if there is one, otherwise in its region. Routers with
+/// Chooses the control member from which a router takes its feed: one that responds and has a recent
+/// confirmation of a leader, in the router's own zone if there is one, otherwise in its region. Routers with
 /// several equally near members spread over them. Performs no I/O.
 #pragma once
 
@@ -29,8 +29,8 @@
 inline constexpr Duration kOtherMemberTimeout = 2500ms;
 /// A member whose newest leader confirmation is older than this is cut off from the leader, or there is no
 /// leader. A member connected for no longer than this is treated as if it had reported a confirmation: after
-/// a restart of all members, those in the leader's region report one first, and all routers of the other
-/// region would take their full feeds from there.
+/// a restart of all members, those in the leader's region report one first; without this rule, all routers of
+/// the other region would take their full feeds from there.
 inline constexpr Duration kMaxLeaderConfirmationAge = 2s;
 
 /// Returns the address of the member to follow, or an empty string when none responds. `current` is the
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -34,11 +34,11 @@
   Duration max_startup_wait = 2500ms;
   delivery::RetryBudgetOptions budget;
   admission::QuotaTolerance quotas;
-  /// How long a lower router count must hold before the retry limit uses it. Equal to the window of the
-  /// limit.
+  /// How long a lower router count must hold before the retry budget uses it. Equal to the window of the
+  /// budget.
   Duration router_count_settle_time = 10s;
   events::RequestLogOptions request_log_options;
-  /// An engine queue up to this long costs nothing: the routers' knowledge of engines is about as old.
+  /// An engine queue up to this long costs nothing, since routers learn of a free slot about this much later.
   Duration useful_engine_queue = 200ms;
   /// The longest Retry-After for overload.
   Duration longest_retry_after = 10s;
@@ -92,7 +92,7 @@
   void check_silence();
   // Implemented in gateway_crashes.cc: backends that crash while serving requests.
   void on_probe_ended(const dispatch::BackendPtr& backend, dispatch::ProbeResult result);
-  /// Confirms the broken exchanges at a backend that has ended without signing off as crashes. `detected_by`
+  /// Confirms as crashes the broken exchanges at a backend that ended without deregistering. `detected_by`
   /// names how this was detected: "refused", "gone" or "lost".
   void confirm_crash(dispatch::Backend& backend, const char* detected_by);
   /// Continues to check whether a backend with broken exchanges has crashed, unless a check is pending. Sends
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -47,7 +47,7 @@
   double max_burst_share = 0.5;     ///< maximum share during a burst
   size_t max_rotating_backends = 14;  ///< up to this many backends, bursts reach all of them in rotation
   double spread_after_fraction =
-      0.7;  ///< fraction of the trial after which the share goes to all backends, if there are more than that
+      0.7;  ///< fraction of the trial after which more than max_rotating_backends all get the share
   double min_capacity_ratio =
       0.5;  ///< ready backends needed for a switch, relative to those of other versions
   Duration min_switch_duration =
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -24,7 +24,7 @@
 struct TestOptions {
   double min_rate = 0;         ///< lower limit of the bad-answer rate assumed for a good version
   double baseline_factor = 1;  ///< that rate is this many times the baseline rate
-  double small_increase = 0;   ///< by how much the rate of a bad version is higher, at least
+  double small_increase = 0;   ///< minimum increase of the rate at a bad version
   double large_increase = 0;   ///< the same for an obviously bad version, which fewer answers detect
   double threshold = 0;        ///< of the sum of log-likelihood ratios
 };
@@ -37,9 +37,9 @@
   Duration short_decay_time = 100ms;  ///< the same for the short-term rates, which raise the baseline if
                                       ///< there are many answers
   size_t slow_buckets = 3;  ///< an answer is slow this many buckets above the baseline median (2.8 times)
-  uint64_t min_baseline_answers = 30;   ///< fewer answers of other versions are no baseline
+  uint64_t min_baseline_answers = 30;   ///< answers of other versions needed for a baseline
   double leave_one_out_fraction = 0.3;  ///< fraction of the threshold to reach without any single backend
-  double max_breaks_per_s = 8;          ///< any above are attributed to a crash or a network partition
+  double max_breaks_per_s = 8;          ///< more are attributed to a crash or a network partition
   double max_break_burst = 2;           ///< broken connections that may count at once
   uint64_t covered_route_answers = 8;   ///< answers of the target version that cover a route
   double min_route_fraction = 0.03;     ///< routes with a smaller fraction of the requests need no coverage
