--- a/tests/unit/starting_router_test.cc
+++ b/tests/unit/starting_router_test.cc
@@ -62,9 +62,9 @@
   EXPECT_EQ(status_of(response.get()), "HTTP/1.1 200");
 }
 
-/// Guards against refusing a request while the feed has no backends yet. A fleet of real processes refused
-/// the first of 495 requests after 102 ms ("request waits known=0", "no back end"): the router had just begun
-/// a feed at a member that received its first heartbeats 8 ms later.
+/// Guards against refusing a request while the feed has no backends yet. A router refused the first of 495
+/// requests after 102 ms ("request waits known=0", "no back end"), because it had just begun a feed at a
+/// member that received its first heartbeats 8 ms later.
 TEST_F(UnconfiguredFleetTest, RequestWaitsForTheFirstBackendOfItsService) {
   ScriptedEngine engine([](const ReceivedRequest& request) { return test::succeed(request); });
   ASSERT_TRUE(configure(make_configuration(1)));
