--- a/src/admission/retry_scheduler.h
+++ b/src/admission/retry_scheduler.h
@@ -1,7 +1,7 @@
 /// Determines when callers that were refused because of load are asked to retry: spread out at the rate at
 /// which the service can take requests, and earlier for callers with less time left.
 ///
-/// If a service that refuses many callers told all of them the same delay, they would return together and be
+/// If a service that refuses many callers gave all of them the same delay, they would return together and be
 /// refused again. Each tenant has its own queue of expected retries and an equal share of the rate, so a
 /// tenant whose callers retry immediately and often only lengthens its own queue.
 #pragma once
@@ -21,7 +21,7 @@
   Duration time_to_room{0};  ///< until an engine is expected to have room for it
 };
 
-/// See the top of this file. A router has one instance per service.
+/// Assigns each refused caller the delay after which to retry. A router has one instance per service.
 class RetryScheduler {
  public:
   /// `max_delay`: upper bound on the delay given to any caller.
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -63,7 +63,8 @@
   }
 };
 
-/// See the top of this file.
+/// The soft state of one control member: applies heartbeats, router statuses and updates of other members,
+/// and builds the updates for other members and for this member's routers.
 class FleetSoftState {
  public:
   explicit FleetSoftState(SoftStateOptions options);
@@ -160,7 +161,7 @@
   };
   /// Fraction of the routers whose quota spending cannot reach this member now.
   double unheard_share(TimePoint now) const;
-  /// Applies a peer's heartbeat marks and answers its requests for backend records.
+  /// Applies a peer's compact heartbeats and answers its requests for backend records.
   void apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Removes the prompt parts that are not shared: they are of no use to routers of other members.
   fleet::CacheChanges filter_shared(fleet::CacheChanges changes) const;
@@ -200,17 +201,17 @@
   std::map<std::string, FollowedCache> claimed_caches_;
   std::map<std::string, Peer> peers_;  ///< by internal address
   std::set<std::string> full_state_requests_;
-  /// Keys of backends for which a peer has sent marks but no record, by the peer's address. Their records are
-  /// requested with the next update.
+  /// Keys of backends for which a peer has sent compact heartbeats but no record, by the peer's address.
+  /// Their records are requested with the next update.
   std::map<std::string, std::set<uint64_t>> missing_record_keys_;
 
   std::deque<fleet::ChainPlacement> placements_;  ///< the newest ones, oldest first
-  uint64_t dropped_placements_ = 0;               ///< number of older ones
+  uint64_t dropped_placements_ = 0;               ///< number of older ones, no longer kept
   bool warmed_up_ = false;  ///< since the start, every live backend has had time to send a heartbeat
   uint64_t last_update_number_ = 0;
   fleet::PeerUpdate pending_update_;          ///< parts of the next update to the other members
-  std::set<std::string> pending_engine_ids_;  ///< engines whose notes the leader sends with the next update
-  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose engine notes were last applied
+  std::set<std::string> pending_engine_ids_;  ///< engines whose EngineLoadState is due in the next update
+  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose EngineLoadStates were last applied
 };
 
 }  // namespace stoat::control
--- a/src/dispatch/backend_backoff.h
+++ b/src/dispatch/backend_backoff.h
@@ -1,4 +1,4 @@
-/// When a back end that asked for a backoff may be sent to again. The backoff applies to this router only.
+/// When a backend that asked for a backoff may be sent to again. The backoff applies to this router only.
 /// After it, a single request is sent there, and others follow once that was accepted. Does no I/O.
 #pragma once
 
@@ -9,16 +9,16 @@
 
 namespace stoat::dispatch {
 
-/// See the head of this file. One for each incarnation of a back end.
+/// The backoff of one incarnation of a backend, and the recovery after it.
 class BackendBackoff {
  public:
-  /// The back end refused a request and wants none until then.
+  /// The backend refused a request and wants no others before `until`.
   void begin(TimePoint until) {
     until_ = std::max(until_, until);
     recovering_ = true;
   }
-  /// The back end accepted a request. During the backoff this is ignored: the request was sent before it
-  /// began.
+  /// The backend accepted a request. Ignored during the backoff, since that request was sent before the
+  /// backoff began.
   void on_accepted(TimePoint now) { recovering_ = recovering_ && now < until_; }
   /// True if a request may be sent now. `outstanding`: requests of this router in progress there.
   bool may_send(uint32_t outstanding, TimePoint now) const {
--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -17,22 +17,23 @@
 /// Settings of a registry.
 struct RegistryOptions {
   Duration lost_after = 4s;  ///< time without a heartbeat after which a backend counts as lost
-  /// The same when several routers cannot reach the backend either: one heartbeat is overdue.
+  /// The same if several routers also report it as unreachable. By then, one heartbeat is overdue.
   Duration overdue_after = 1400ms;
   Duration forget_after = 30s;  ///< time without a heartbeat after which the backend is removed
 };
 
-/// Result of a mark: a compact heartbeat that carries only the hash of the id and the sequence.
+/// Result of applying a compact heartbeat, which carries only the hash of the id and the sequence.
 enum class CompactHeartbeatResult : uint8_t {
   kApplied,
   kStale,    ///< a heartbeat with the same or a higher sequence is known, or the incarnation was replaced
   kUnknown,  ///< the backend is not known, and its full record must be requested
 };
 
-/// The hash by which marks identify a backend.
+/// The hash by which compact heartbeats identify a backend.
 uint64_t backend_id_hash(const std::string& id);
 
-/// The registered backends and their states, see the top of this file.
+/// The registered backends and their states. Each change has a revision, so that subscribers receive only
+/// what is new to them.
 class BackendRegistry {
  public:
   explicit BackendRegistry(const RegistryOptions& options) : options_(options) {}
@@ -69,7 +70,8 @@
   }
   /// True when a heartbeat of the backend arrived at `since` or later.
   bool has_heartbeat_since(const std::string& id, TimePoint since) const;
-  /// The same records in order of change. Sequences are left out because they change with every heartbeat.
+  /// All known backends in order of their last change. Sequences are left out because they change with every
+  /// heartbeat.
   const RevisionTable<std::string, BackendRecord>& table() const { return table_; }
 
  private:
