--- a/src/control/crash_aggregator.h
+++ b/src/control/crash_aggregator.h
@@ -30,7 +30,7 @@
   }
   /// Forgets requests whose last crash is long ago.
   void expire(TimePoint now) {
-    for (const uint64_t request : crash_book_.expire(now)) {
+    for (const uint64_t request : crash_history_.expire(now)) {
       suspects_.erase(request);
       changed_.erase(request);
     }
@@ -39,14 +39,14 @@
   std::vector<fleet::CrashRecord> take_changes(TimePoint now) {
     std::vector<fleet::CrashRecord> list;
     for (const uint64_t request : std::exchange(changed_, {})) {
-      list.push_back(crash_book_.record(request, now));
+      list.push_back(crash_history_.record(request, now));
     }
     return list;
   }
-  std::vector<fleet::CrashRecord> all(TimePoint now) const { return crash_book_.all(now); }
+  std::vector<fleet::CrashRecord> all(TimePoint now) const { return crash_history_.all(now); }
   /// What is known of one request.
   fleet::CrashRecord record(uint64_t request, TimePoint now) const {
-    return crash_book_.record(request, now);
+    return crash_history_.record(request, now);
   }
   /// The requests that are reported to routers, by fingerprint, with the known crashes of each; their ages
   /// are zero.
@@ -56,10 +56,10 @@
 
  private:
   bool merge_record(const fleet::CrashRecord& record, TimePoint now) {
-    if (!crash_book_.merge(record, now)) {
+    if (!crash_history_.merge(record, now)) {
       return false;
     }
-    std::vector<fleet::CrashReport> notices = crash_book_.record(record.request, now).crashes;
+    std::vector<fleet::CrashReport> notices = crash_history_.record(record.request, now).crashes;
     if (notices.size() >= admission::kSuspectCrashes) {
       for (fleet::CrashReport& notice : notices) {
         notice.age_ms = 0;  // a change of the age alone must not create a new revision
@@ -69,7 +69,7 @@
     return true;
   }
 
-  admission::CrashHistory crash_book_;
+  admission::CrashHistory crash_history_;
   fleet::RevisionTable<uint64_t, std::vector<fleet::CrashReport>> suspects_;
   std::set<uint64_t> changed_;
 };
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -116,8 +116,8 @@
   }
 }
 
-void FleetServer::on_confirmation_question(const ChannelPtr& channel,
-                                           const fleet::ConfirmationRequest& question) {
+void FleetServer::on_confirmation_request(const ChannelPtr& channel,
+                                          const fleet::ConfirmationRequest& question) {
   fleet::ConfirmationResponse answer;
   answer.number = question.number;
   answer.quorum_age_ms = core_->replica().leads() ? confirmed_age_ms() : -1;
@@ -160,12 +160,12 @@
       store_zones[service.store_address] = service.store_zone;
     }
   }
-  cache_watch_.follow(soft_state_.choose_caches(store_zones, loop_.now()));
+  cache_event_poller_.follow(soft_state_.choose_caches(store_zones, loop_.now()));
 }
 
 void FleetServer::poll_followed_caches() {
-  cache_watch_.poll(loop_.now());
-  const std::vector<fleet::CacheChanges> changes = cache_watch_.take_changes();
+  cache_event_poller_.poll(loop_.now());
+  const std::vector<fleet::CacheChanges> changes = cache_event_poller_.take_changes();
   for (const fleet::CacheChanges& change : changes) {
     if (change.is_full_state || !change.is_subscribed) {
       log_.event(events::CacheSubscriptionChanged{change.holder, change.is_subscribed});
--- a/src/control/fleet_permits.cc
+++ b/src/control/fleet_permits.cc
@@ -17,7 +17,7 @@
          loop_.now() - replica.quorum_confirmed_at() <= admission::kPermitLease;
 }
 
-void FleetServer::on_permit_question(const ChannelPtr& channel, const fleet::PermitRequest& question) {
+void FleetServer::on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& question) {
   fleet::PermitResponse answer;
   answer.number = question.number;
   const TimePoint now = loop_.now();
@@ -25,7 +25,7 @@
     for (const fleet::PermitRequestItem& wish : question.wishes) {
       // After a change of leader, the router may know the limit before this member does.
       const double per_second = soft_state_.limits().per_second(wish.backend, wish.per_second);
-      const admission::PermitGrant grant = permit_book_.ask(wish.backend, per_second, wish.count, now);
+      const admission::PermitGrant grant = permit_issuer_.ask(wish.backend, per_second, wish.count, now);
       answer.terms.push_back({wish.backend, grant.count, to_milliseconds_up(grant.wait)});
       metrics_.count(grant.count > 0 ? "stoat_control_permits_total" : "stoat_control_permits_denied_total",
                      {}, std::max<uint32_t>(1, grant.count));
@@ -35,7 +35,7 @@
 }
 
 void FleetServer::maintain_permits() {
-  permit_book_.expire(loop_.now());
+  permit_issuer_.expire(loop_.now());
   metrics_.set("stoat_control_limited_backends", static_cast<double>(soft_state_.limits().limits().size()));
 }
 
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -85,7 +85,7 @@
       std::count_if(router_links_.begin(), router_links_.end(),
                     [](const auto& entry) { return entry.second.status.follows && !entry.second.silent; });
   metrics_.set("stoat_control_feeds", static_cast<double>(following_count));
-  metrics_.set("stoat_control_followed_caches", static_cast<double>(cache_watch_.size()));
+  metrics_.set("stoat_control_followed_caches", static_cast<double>(cache_event_poller_.size()));
   metrics_.set("stoat_control_metered_tenants", static_cast<double>(soft_state_.quotas().metered()));
   for (const fleet::QuotaLevel& change : soft_state_.take_quota_changes()) {
     log_.event(events::TenantMeteringChanged{change.tenant, change.metered, change.level,
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -66,7 +66,7 @@
       store_(files_),
       soft_state_({to_string(settings_.internal), settings_.zone, settings_.registry, settings_.quotas,
                    seed_from_device(), loop.now(), settings_.topology}),
-      cache_watch_(orders),
+      cache_event_poller_(orders),
       weight_rollout_(settings_.rollout),
       router_confirmations_(kIsolatedServeTime) {
   start_core(restore());
@@ -207,13 +207,13 @@
   } else if (auto* loads = std::get_if<fleet::RouterLoads>(&message.value)) {
     on_router_loads(channel, *loads);
   } else if (auto* permits = std::get_if<fleet::PermitRequest>(&message.value)) {
-    on_permit_question(channel, *permits);
+    on_permit_request(channel, *permits);
   } else if (auto* placements = std::get_if<fleet::PlacementUpdate>(&message.value)) {
     soft_state_.on_placements(placements->placements);
   } else if (auto* peer_update = std::get_if<fleet::PeerUpdate>(&message.value)) {
     on_peer_update(*peer_update);
   } else if (auto* question = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
-    on_confirmation_question(channel, *question);
+    on_confirmation_request(channel, *question);
   } else if (auto* confirmed = std::get_if<fleet::ConfirmationResponse>(&message.value)) {
     on_confirmation_answer(*confirmed);
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
@@ -283,7 +283,7 @@
     weight_rollout_.reset();
     if (leads) {
       soft_state_.clear_loading();
-      permit_book_.start_leading(now);
+      permit_issuer_.start_leading(now);
     }
     log_.info(leads ? "leads" : "leads no more", {{"term", core_->replica().term()}});
     metrics_.set("stoat_control_leads", leads ? 1 : 0);
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -195,7 +195,7 @@
   std::optional<LeaderConfirmation> confirmation() const;
 
   // fleet_permits.cc: permits under the rate limits of backends, which apply to all routers together
-  void on_permit_question(const ChannelPtr& channel, const fleet::PermitRequest& question);
+  void on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& question);
   bool may_grant_permits() const;
   void maintain_permits();
 
@@ -208,7 +208,7 @@
   void meter_peer_traffic(const std::string& address, const std::string& zone);
   void log_traffic();
   void on_peer_update(const fleet::PeerUpdate& peer_update);
-  void on_confirmation_question(const ChannelPtr& channel, const fleet::ConfirmationRequest& question);
+  void on_confirmation_request(const ChannelPtr& channel, const fleet::ConfirmationRequest& question);
   void on_confirmation_answer(const fleet::ConfirmationResponse& answer);
   void request_confirmation();
   void track_confirmation();
@@ -281,9 +281,9 @@
   LeaderConfirmationTracker questions_;
   TimePoint next_confirmation_request_{0};
   TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
-  CacheEventPoller cache_watch_;
+  CacheEventPoller cache_event_poller_;
   WeightRollout weight_rollout_;
-  admission::PermitIssuer permit_book_;                   ///< valid while this member leads
+  admission::PermitIssuer permit_issuer_;                 ///< valid while this member leads
   std::map<uint64_t, RolloutProgress> rollout_progress_;  ///< by rollout id; only rollouts not yet final
   rollout::RouterConfirmations router_confirmations_;
   std::map<uint64_t, uint64_t> seen_steps_;  ///< by rollout id: newest step seen
--- a/src/control/fleet_soft_state.cc
+++ b/src/control/fleet_soft_state.cc
@@ -22,7 +22,7 @@
       registry_(options_.registry),
       routers_(options_.topology),
       quotas_(options_.quotas, options_.start_id, options_.started),
-      cache_duty_(options_.address, options_.topology),
+      assigned_caches_(options_.address, options_.topology),
       caches_(options_.address) {}
 
 bool FleetSoftState::on_heartbeat(const fleet::BackendRecord& record, TimePoint now) {
@@ -38,7 +38,7 @@
   return true;
 }
 
-void FleetSoftState::apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now) {
+void FleetSoftState::apply_compact_heartbeats(const fleet::PeerUpdate& peer_update, TimePoint now) {
   for (const fleet::CompactHeartbeat& mark : peer_update.marks) {
     if (registry_.on_compact_heartbeat(mark.backend, mark.sequence, now) ==
         fleet::CompactHeartbeatResult::kUnknown) {
@@ -228,7 +228,7 @@
   for (const fleet::BackendRecord& record : peer_update.heartbeats) {
     registry_.on_heartbeat(record, now);
   }
-  apply_heartbeat_marks(peer_update, now);
+  apply_compact_heartbeats(peer_update, now);
   for (const fleet::RouterPresence& notice : peer_update.routers) {
     silent_routers_.erase(notice.router.name);
     routers_.on_notice(peer_update.sender, notice, now);
@@ -405,16 +405,16 @@
 
 std::vector<FollowedCache> FleetSoftState::choose_caches(
     const std::map<std::string, std::string>& store_zones, TimePoint now) {
-  if (cache_duty_.update(registry_.table(), store_zones, live_members(now), now)) {
-    caches_.retain([this](const std::string& holder) { return cache_duty_.contains(holder); });
+  if (assigned_caches_.update(registry_.table(), store_zones, live_members(now), now)) {
+    caches_.retain([this](const std::string& holder) { return assigned_caches_.contains(holder); });
   }
-  for (const std::string& holder : cache_duty_.take_removed_backends()) {
+  for (const std::string& holder : assigned_caches_.take_removed_backends()) {
     caches_.drop(holder);
   }
   std::map<std::string, FollowedCache> chosen;
   std::vector<FollowedCache> list;
-  list.reserve(cache_duty_.assigned().size());
-  for (const auto& [holder, cache] : cache_duty_.assigned()) {
+  list.reserve(assigned_caches_.assigned().size());
+  for (const auto& [holder, cache] : assigned_caches_.assigned()) {
     const FollowedCache followed = claim_cache(holder, cache.address, cache.store);
     chosen.emplace(holder, followed);
     list.push_back(followed);
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -162,7 +162,7 @@
   /// Fraction of the routers whose quota spending cannot reach this member now.
   double unheard_share(TimePoint now) const;
   /// Applies a peer's compact heartbeats and answers its requests for backend records.
-  void apply_heartbeat_marks(const fleet::PeerUpdate& peer_update, TimePoint now);
+  void apply_compact_heartbeats(const fleet::PeerUpdate& peer_update, TimePoint now);
   /// Removes the prompt parts that are not shared: they are of no use to routers of other members.
   fleet::CacheChanges filter_shared(fleet::CacheChanges changes) const;
   /// Queues, for the other members, which of these parts are in the caches that this member follows: the
@@ -191,7 +191,7 @@
   CrashAggregator crashes_;
   admission::QuotaLedger quotas_;
   rollout::AnswerAggregator answers_;
-  AssignedCaches cache_duty_;
+  AssignedCaches assigned_caches_;
   /// Routers that followed this member, and when they fell silent.
   std::map<std::string, TimePoint> silent_routers_;
   CacheIndex caches_;
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -54,7 +54,7 @@
       on_done_(std::move(on_done)),
       fingerprint_(fingerprint_of(plan_)),
       last_event_id_(plan_.fields.last_event_id),
-      story_(plan_.fields.id) {
+      event_log_(plan_.fields.id) {
   const auto on_timeout = [](evutil_socket_t, short, void* run) {
     static_cast<ActiveRequest*>(run)->on_timer();
   };
@@ -90,7 +90,7 @@
   wait_deadline_ = wait_limit();
   chain_ = make_chain(plan_);
   context_.budget_of(plan_.service).on_request(plan_.arrived);
-  story_.add(events::RequestAccepted{
+  event_log_.add(events::RequestAccepted{
       route.name, plan_.service, plan_.tenant == nullptr ? "" : plan_.tenant->name,
       plan_.table->configuration().version, limit_ms, chain_.prompt_tokens, to_hex(fingerprint_)});
   if (context_.loop.now() >= deadline_) {
@@ -294,7 +294,7 @@
   const auto keep = shared_from_this();
   if (kind_ == ResponseKind::kNotRun) {
     context_.pool.outliers().on_success(backend_->record.id);
-    story_.add(events::RequestNotRun{backend_->record.id, head_.status});
+    event_log_.add(events::RequestNotRun{backend_->record.id, head_.status});
     record_rollout_end(rollout::SendOutcome::kNotRun);
     finish_exchange(true);
     on_not_run(true);
@@ -389,7 +389,7 @@
 bool ActiveRequest::may_retry(bool known_not_executed) {
   const char* reason = retry_denial_reason(known_not_executed);
   if (reason != nullptr) {
-    story_.add(events::RequestNotRetried{reason});
+    event_log_.add(events::RequestNotRetried{reason});
   }
   return reason == nullptr;
 }
@@ -433,7 +433,7 @@
     context_.note_crash(*failed, "refused");
   }
   if (failure == ExchangeFailure::kNotConnected) {
-    story_.add(events::RequestNotRun{failed->record.id, 0});
+    event_log_.add(events::RequestNotRun{failed->record.id, 0});
     return_trial_permit();
     on_not_run(false);
     return;
@@ -441,8 +441,8 @@
   ++runs_;
   executed_ = Executed::kMaybe;
   const auto health = context_.pool.outliers().handle_of(failed->record.id);
-  story_.add(events::ExchangeFailed{failed->record.id, to_text(failure), streaming_,
-                                    !delivery::OutlierDetector::usable(health, now)});
+  event_log_.add(events::ExchangeFailed{failed->record.id, to_text(failure), streaming_,
+                                        !delivery::OutlierDetector::usable(health, now)});
   if (may_retry(false)) {
     context_.metrics.count("stoat_router_repeats_total");
     try_dispatch();
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -412,7 +412,7 @@
   TimePoint first_event_at_{0};
   TimePoint last_event_at_{0};
   Duration longest_pause_{0};
-  events::RequestEventLog story_;
+  events::RequestEventLog event_log_;
 };
 
 }  // namespace stoat::dispatch
--- a/src/dispatch/request_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -66,7 +66,7 @@
     waits.loading += backend->record.loading ? 1 : 0;
     waits.limited += context_.limits.may_send(backend->record.id, context_.loop.now()) ? 0 : 1;
   }
-  story_.add(waits);
+  event_log_.add(waits);
 }
 
 void ActiveRequest::admit(const std::vector<BackendPtr>& candidates) {
@@ -106,8 +106,8 @@
     return;
   }
   admission::RequestQueue& queue = context_.queues[plan_.service];
-  story_.add(events::RequestQueued{to_milliseconds(known.wait), known.taken_share,
-                                   static_cast<uint32_t>(queue.size())});
+  event_log_.add(events::RequestQueued{to_milliseconds(known.wait), known.taken_share,
+                                       static_cast<uint32_t>(queue.size())});
   queued_at_ = now;
   const placement::ServiceSpeed& speed = context_.speeds[plan_.service];
   admission::QueuedRequest request;
--- a/src/dispatch/request_crashes.cc
+++ b/src/dispatch/request_crashes.cc
@@ -48,7 +48,8 @@
 
 void ActiveRequest::refuse_for_crashes(const admission::StandingReason& reason) {
   context_.metrics.count("stoat_router_quarantine_refusals_total", {{"route", plan_.route->name}});
-  story_.add(events::RequestQuarantined{to_hex(fingerprint_), reason.crashes, to_milliseconds(reason.left)});
+  event_log_.add(
+      events::RequestQuarantined{to_hex(fingerprint_), reason.crashes, to_milliseconds(reason.left)});
   if (executed_ == Executed::kNo) {
     reply_with_error(kUnavailable, kSuspectReason, to_seconds(reason.left));
   } else {
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -130,10 +130,10 @@
   const int64_t expected_ms =
       expected_ ? to_milliseconds(sent_at_ - plan_.arrived) + std::llround(expected_->forecast.total_ms())
                 : -1;
-  story_.add(events::RequestEnded{outcome, status, static_cast<uint32_t>(tried_.size()), refusals_,
-                                  to_milliseconds(now - plan_.arrived), first_ms, expected_ms,
-                                  to_milliseconds(longest_pause_), is_late});
-  story_.finish(context_.request_log_sampler, !success || is_late, outcome, now);
+  event_log_.add(events::RequestEnded{outcome, status, static_cast<uint32_t>(tried_.size()), refusals_,
+                                      to_milliseconds(now - plan_.arrived), first_ms, expected_ms,
+                                      to_milliseconds(longest_pause_), is_late});
+  event_log_.finish(context_.request_log_sampler, !success || is_late, outcome, now);
   on_done_(this);
 }
 
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -251,7 +251,7 @@
     reason = "no budget for repeats";
   }
   if (reason != nullptr) {
-    story_.add(events::KvCacheCopyNotUsed{origin.record.id, reason, run_weights_});
+    event_log_.add(events::KvCacheCopyNotUsed{origin.record.id, reason, run_weights_});
     return false;
   }
   context_.metrics.count("stoat_router_copies_used_total");
@@ -269,7 +269,7 @@
     spend_permit(*backend);
     spend_trial();
   } else {
-    story_.add(events::RequestNotRun{backend->record.id, 0});
+    event_log_.add(events::RequestNotRun{backend->record.id, 0});
     on_not_run(false);
     return;
   }
@@ -308,7 +308,7 @@
   sent.cache_source = cache.source;
   sent.copy_of = cache.resume_from;
   note_distances(*backend, cache, sent);
-  story_.add(sent);
+  event_log_.add(sent);
   context_.pool.outliers().on_dispatch(backend->record.id, now);
   const std::string id = plan_.fields.id;
   const std::string id_name = context_.names.request_id;
