--- a/src/admission/backend_limits.cc
+++ b/src/admission/backend_limits.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A permit request without an answer is given up after this time. Members normally answer within a few
-/// milliseconds.
+/// A permit request without an answer is given up after this time. Control-plane members normally answer
+/// within a few milliseconds.
 constexpr Duration kPermitAnswerTimeout = 300ms;
 /// Delay before asking again after the asked member was found not to be the leader: it has no permits to
 /// grant, and its successor is known soon.
--- a/src/admission/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -15,8 +15,8 @@
 /// The properties of a waiting request that determine its order.
 struct FairQueueEntry {
   uint64_t request_id = 0;
-  std::string flow;  ///< the tenant
-  int32_t priority = 0;
+  std::string flow;      ///< the tenant
+  int32_t priority = 0;  ///< classes with higher values are served first
   double share = 1;
   double cost = 1;  ///< in any unit, as long as all callers use the same
   /// Within a flow, the earliest goes first. Requests with equal values go in order of arrival.
--- a/src/admission/load_admission.h
+++ b/src/admission/load_admission.h
@@ -30,8 +30,8 @@
 
 /// Thresholds of the decision.
 struct AdmissionThresholds {
-  /// An engine queue up to this long costs nothing: routers learn of a free slot about 200 ms late, and the
-  /// engine would be idle meanwhile.
+  /// An engine queue up to this long costs nothing: routers learn of a free slot about 200 ms late, and
+  /// without a queue the engine would be idle for that time.
   Duration max_useful_engine_queue = 200ms;
   /// Maximum time a request waits at the router. Engine loads are reported every 100 ms. After one round of
   /// reports, the router knows where slots became free; a request held longer only ends up behind those
--- a/src/admission/quota_enforcer.cc
+++ b/src/admission/quota_enforcer.cc
@@ -77,7 +77,8 @@
   account.accrued_at = now;
   const auto needed = static_cast<double>(std::max<int64_t>(1, cost));
   const double taken = std::min(needed, account.accrued);
-  // Also if the request is refused, so that on average as much is spent as was taken.
+  // The amount is deducted even if the request is then refused. An admitted request may spend
+  // more than was deducted, so on average as much is spent as was deducted.
   account.accrued -= taken;
   if (random_.chance(taken / needed)) {
     return {};
--- a/src/admission/quota_enforcer.h
+++ b/src/admission/quota_enforcer.h
@@ -64,7 +64,7 @@
   void confirm(uint64_t number);
 
  private:
-  /// Time from a charge until a level that includes it comes back: a router reports within 100 ms, members
+  /// Time from a charge until a level that includes it arrives: a router reports within 100 ms, members
   /// exchange reports within 50 ms and update their routers within another 100 ms.
   static constexpr Duration kLevelRoundTrip = 400ms;
   struct Account {
--- a/src/admission/quota_ledger.cc
+++ b/src/admission/quota_ledger.cc
@@ -72,9 +72,9 @@
   if (!pending || now < pending->effective_at) {
     return;
   }
-  // No window subject to the lower quota reaches back to before this moment, so its own window begins empty.
-  // Otherwise a tenant would be refused for seconds right after the change because of what it had spent under
-  // the previous quota.
+  // The lower quota applies only to spending from now on, so its window begins empty. Otherwise a tenant
+  // would be refused for seconds right after the change because of what it had spent under the previous
+  // quota.
   const QuotaAllowance next = pending->allowance;
   previous_quotas.push_back({allowance, spent, now + window});
   spent = SpendingWindow<kWindowSteps>(window);
@@ -84,8 +84,8 @@
 QuotaLedger::Account& QuotaLedger::open_account(const fleet::Tenant& tenant, TimePoint now) {
   Account& account = accounts_.try_emplace(tenant.name, tolerance_.window).first->second;
   account.allowance = QuotaAllowance(tenant.quota, tolerance_);
-  // Everything allowed may have been spent before this member's start, with the burst right before it; only
-  // what has accrued since then is available.
+  // Assumes that the whole amount allowed in a window was spent before this member's start, and the burst
+  // right before it. Only what has accrued since the start is available.
   const double unknown_fraction = 1 - to_seconds(age(now)) / to_seconds(tolerance_.window);
   if (unknown_fraction > 0) {
     account.spent.add_evenly(unknown_fraction * (account.allowance.per_window - account.allowance.burst),
@@ -157,8 +157,8 @@
     return;  // all sums are requested from the peer and will include these
   }
   // A peer's sums are new spending if an earlier start of the peer was known, or if this is the peer's first
-  // message. Otherwise they may be older than this member's own count. Without treating the first message as
-  // new, members that started together never counted the spending of each other's routers.
+  // message. Otherwise they may be older than this member's own count. If the first message did not count as
+  // new spending, members that started together would never count the spending of each other's routers.
   const bool is_new_spending = entry.start_id != 0 || scope == SumsScope::kFirst;
   if (!same_run) {
     entry.sums.clear();
@@ -193,7 +193,7 @@
 
 void QuotaLedger::update(double unheard_share, TimePoint now) {
   const double elapsed_s = updated_at_ == TimePoint(0) ? 0 : to_seconds(now - updated_at_);
-  // Includes the spending of the time before the silence was noticed.
+  // Includes the time between the last report of a router and the moment its silence was noticed.
   const double newly_unheard = std::max(0.0, unheard_share - unheard_share_);
   const double unheard_s = unheard_share * elapsed_s + newly_unheard * to_seconds(kSilenceDetectionTime);
   unheard_share_ = unheard_share;
