--- a/src/placement/first_event_model.cc
+++ b/src/placement/first_event_model.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Factor by which the weight of older samples shrinks with each new one. For engines, about ten requests
-/// count, since a router sends to one engine rarely and its speed may drop suddenly. For services, about two
-/// hundred count.
+/// Factor by which the weight of older samples shrinks with each new one. An engine's estimate averages about
+/// ten requests, since a router sends to one engine rarely and the engine's speed may drop suddenly. A
+/// service's estimate averages about two hundred.
 constexpr double kEngineDecay = 0.9;
 constexpr double kServiceDecay = 0.995;
 /// Prompts with fewer tokens are used to measure the time not spent on prefill.
@@ -18,7 +18,8 @@
 /// or were lost say nothing about their speed.
 constexpr double kMaxExpectedRatio = 4;
 constexpr double kAllowanceMs = 100;
-/// Upper bound on a run, as a multiple of the mean. Longer runs are streams that callers read slowly.
+/// Upper bound on the duration of a run, as a multiple of the mean. Longer runs are streams that callers read
+/// slowly.
 constexpr double kMaxRunRatio = 10;
 
 double limit_outlier(double observed_ms, double expected_ms) {
--- a/src/placement/kv_cache_estimate.h
+++ b/src/placement/kv_cache_estimate.h
@@ -36,7 +36,7 @@
 inline constexpr Duration kHoldTime = 8s;
 /// The same for a store, which only receives new shared parts.
 inline constexpr Duration kStoreHoldTime = 20s;
-/// How long after being sent a prompt counts as about to be cached.
+/// How long a prompt counts as about to be cached after it was sent to an engine.
 inline constexpr Duration kPendingTimeout = 5s;
 /// Upper bound on the time from a change in a cache to the arrival of its event at a router: about 100 ms at
 /// the cache and as much on the way.
--- a/src/placement/prompt_placement.cc
+++ b/src/placement/prompt_placement.cc
@@ -103,8 +103,8 @@
   double saved_ms = 0;  ///< compared with computing the tokens
 };
 
-/// Returns the transfer that saves most; without a source, and with the engine's own tokens only, if none is
-/// worthwhile.
+/// Returns the transfer that saves most. If none is worthwhile, the result has no source, and
+/// `present_tokens` is `own_tokens`.
 KvTransfer choose_kv_transfer(size_t target, uint32_t own_tokens, const std::vector<EngineView>& engines,
                               const WeightsGroup& group, const StoreView* store, double prefill_ms_per_token,
                               const PlacementCosts& costs) {
--- a/src/placement/transfer_costs.h
+++ b/src/placement/transfer_costs.h
@@ -2,8 +2,8 @@
 /// and whether a transfer is worthwhile.
 ///
 /// A link carries one transfer at a time. A transfer between zones takes twice as long as within a zone, one
-/// between regions ten times as long: a link of 550 Gbit/s transfers in 0.005 ms within a zone what takes
-/// 0.048 ms between regions, which is longer than an engine needs to compute it.
+/// between regions ten times as long. With a link of 550 Gbit/s, a token that takes 0.005 ms within a zone
+/// takes 0.048 ms between regions, which is longer than an engine needs to compute its cache.
 #pragma once
 
 #include <cstdint>
