--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -102,13 +102,13 @@
 }
 
 TimePoint ActiveRequest::wait_limit() const {
-  // Applies also while no backend may take the request: one round of updates from the control plane reports
-  // backends that have joined or are usable again.
+  // This limit also applies while no backend may take the request. Within that time, one round of updates
+  // from the control plane reports backends that have joined or are usable again.
   const TimePoint usual = admission::wait_limit(times(), context_.admission_thresholds);
   if (context_.pool.count(plan_.service) > 0) {
     return usual;
   }
-  // The feed may come from a control member that has not received any heartbeat yet.
+  // The feed may come from a control-plane member that has not received any heartbeat yet.
   const TimePoint longest = plan_.arrived + (deadline_ - plan_.arrived) / kStartupWaitDivisor;
   return std::max(usual, std::min(longest, context_.startup_ends_at));
 }
@@ -272,7 +272,7 @@
     note_prompt_cached();
   }
   if (event.id && last_event_id_ && *event.id <= *last_event_id_) {
-    return;  // the caller already has it
+    return;  // the caller already has this event
   }
   if (!streaming_) {
     streaming_ = true;
--- a/src/dispatch/active_request.h
+++ b/src/dispatch/active_request.h
@@ -78,8 +78,8 @@
   std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
   /// Reports to the control plane that a backend could not be reached.
   std::function<void(const std::string&)> report_unreachable = [](const std::string&) {};
-  /// Confirms as crashes the broken exchanges at a backend that ended without deregistering. `sign` names
-  /// how this was detected: "refused", "gone" or "lost".
+  /// Confirms the broken exchanges at a backend as crashes, because it ended without deregistering. `sign`
+  /// names how the end was detected: "refused", "gone" or "lost".
   std::function<void(Backend&, const char* sign)> note_crash = [](Backend&, const char*) {};
   placement::PlacementCosts costs = {};
   std::map<std::string, placement::ServiceSpeed> speeds = {};             ///< by service
@@ -185,7 +185,7 @@
   void arm_timer(TimePoint at);
   void on_timer();
   void try_dispatch();
-  /// Latest time until which it may wait for a backend, or for a slot at one.
+  /// Latest time until which the request may wait for a backend, or for a slot at one.
   TimePoint wait_limit() const;
   /// Schedules another try_dispatch() after kBackendPollInterval.
   void schedule_poll();
@@ -212,15 +212,15 @@
   std::optional<TimePoint> earliest_permit_time(const std::vector<std::string>& limited) const;
   /// Lets the request wait for a permit for one of these, or refuses it with `reason` if none comes in time.
   void wait_for_permit(const std::vector<std::string>& limited, const char* reason);
-  // request_crashes.cc: requests under which backends crash
-  /// True if the request may not be sent now because backends crashed under it. It then waits for a trial
-  /// permit, or has been refused.
+  // request_crashes.cc: requests during which backends crash
+  /// True if the request may not be sent now because backends crashed while executing it. The request then
+  /// waits for a trial permit, or has been refused.
   bool blocked_by_crashes();
   /// For a suspect: returns false if it may be sent now, else lets it wait for a trial permit.
   bool wait_for_trial();
   void refuse_for_crashes(const admission::StandingReason& reason);
-  /// True if enough backends crashed under the request that it is a suspect: it is sent to one backend at a
-  /// time, and not retried after a failure.
+  /// True if enough backends crashed while executing the request that it is a suspect: it is sent to one
+  /// backend at a time, and not retried after a failure.
   bool suspected() const;
   /// Uses the trial permit of a suspect that is being sent.
   void spend_trial();
@@ -249,7 +249,7 @@
   void observe_first_event_latency();
   /// Updates the latency model with how long the completed run at backend_ occupied a slot.
   void observe_run_time() const;
-  /// Keeps those backends whose software version the request is to go to.
+  /// Returns those of the backends `found` whose software version the request is to be sent to.
   std::vector<BackendPtr> filter_by_version(std::vector<BackendPtr> found) const;
   /// Counts the attempt at backend_ while its service has a rollout in progress. The three functions after
   /// this one count its outcome.
@@ -270,7 +270,7 @@
   admission::ServiceOutlook outlook(const std::vector<BackendPtr>& candidates) const;
   /// True if admission control would send the request to a current candidate now.
   bool has_room() const;
-  /// Sends it, lets it wait for a slot, or refuses it. There is at least one candidate.
+  /// Sends the request, lets it wait for a slot, or refuses it. There is at least one candidate.
   void admit(const std::vector<BackendPtr>& candidates);
   void wait_for_slot(const admission::ServiceOutlook& known);
   void leave_queue();
@@ -319,7 +319,7 @@
   const char* retry_denial_reason(bool known_not_executed);
   /// See retry_denial_reason(); logs the reason if the request may not be retried.
   bool may_retry(bool known_not_executed);
-  /// True if the response was later, or paused longer, than the objectives of its route.
+  /// True if the response began later, or paused for longer, than the objectives of its route allow.
   bool missed_objective(TimePoint now) const;
   /// Retries or fails a request that was not executed. `delivered`: the backend received and refused it;
   /// else no connection was made.
--- a/src/dispatch/backend_connection.cc
+++ b/src/dispatch/backend_connection.cc
@@ -15,8 +15,8 @@
 
 /// A connection is abandoned if the backend's host acknowledges nothing for this long.
 constexpr Duration kUnresponsiveTimeout = 1500ms;
-/// Connection timeout of 300 ms: a round trip takes some milliseconds. The request was certainly not
-/// executed, and can go elsewhere at once.
+/// Connection timeout of 300 ms: a round trip takes some milliseconds. After this timeout, the request was
+/// certainly not executed, and can be sent to another backend at once.
 constexpr timeval kConnectTimeout{0, 300000};
 /// An idle connection is not used in this last part of the time for which the backend keeps it open.
 constexpr Duration kIdleMargin = 400ms;
--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -11,7 +11,7 @@
 
 /// Minimum time between probes of a silent backend.
 constexpr Duration kProbeInterval = 500ms;
-/// Connecting takes some milliseconds unless the SYN packet is lost, which would be sent again only after a
+/// Connecting takes some milliseconds unless the SYN packet is lost. TCP retransmits a lost SYN only after a
 /// second.
 constexpr Duration kProbeTimeout = 300ms;
 /// Delay before the next probe of a check whose connection was closed at once, and the maximum number of such
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -86,13 +86,14 @@
   void set_total_load(const fleet::BackendLoad& load);
   /// Records the loads that this router has just published. The totals will include them soon.
   void set_published_loads(const std::vector<fleet::BackendLoad>& loads);
-  /// Marks the totals as current: the control member that reports them is connected and sends all changes.
+  /// Marks the totals as current: the control-plane member that reports them is connected and sends all
+  /// changes.
   void note_totals_current(TimePoint now) { totals_updated_at_ = now; }
   /// Time since the totals were last current.
   Duration total_load_age(TimePoint now) const { return now - std::min(now, totals_updated_at_); }
-  /// Clears the totals, before another control member reports them.
+  /// Clears the totals, before another control-plane member reports them.
   void forget_totals();
-  /// Clears the cache contents known from cache events, before another control member reports them.
+  /// Clears the cache contents known from cache events, before another control-plane member reports them.
   void forget_holdings();
   /// Records a model's weights version stated in a response. It never decreases within one incarnation.
   static void note_version(Backend& backend, const std::string& model, uint64_t version);
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -7,7 +7,7 @@
 namespace stoat::dispatch {
 
 std::optional<Duration> ActiveRequest::outdated_for(const Backend& backend) const {
-  // The age counts from the announcement of the lowest newer version, however soon later ones followed.
+  // The age counts from the announcement of the lowest newer version, even if later versions followed soon.
   const auto wanted = context_.announced_weights.find(plan_.fields.model);
   if (wanted == context_.announced_weights.end()) {
     return std::nullopt;
--- a/src/dispatch/request_crashes.cc
+++ b/src/dispatch/request_crashes.cc
@@ -1,4 +1,4 @@
-/// ActiveRequest: requests under which backends crash.
+/// ActiveRequest: requests during which backends crash.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A suspect is sent to one backend at a time in the whole fleet, at this rate: every router learns of a
-/// crash before the next trial.
+/// A suspect is sent to one backend at a time in the whole fleet, at this rate in trials per second. It is
+/// low enough for every router to learn of a crash before the next trial.
 constexpr double kTrialsPerSecond = 0.5;
 constexpr const char* kSuspectReason = "back ends crashed under the request";
 
--- a/src/dispatch/request_fields.h
+++ b/src/dispatch/request_fields.h
@@ -26,7 +26,7 @@
   std::string model;
   std::vector<PromptPart> parts;
   uint32_t prompt_tokens = 0;
-  uint32_t output_tokens = 0;            ///< at most
+  uint32_t output_tokens = 0;            ///< maximum number
   bool has_token_counts = false;         ///< both token counts were given
   bool malformed_token_counts = false;   ///< token counts were given, but not as two valid integers
   std::optional<int64_t> last_event_id;  ///< last event of the stream that the caller already has
--- a/src/dispatch/request_forecast.cc
+++ b/src/dispatch/request_forecast.cc
@@ -33,7 +33,7 @@
 
 void ActiveRequest::expect_first_event(double mean_others_outstanding) {
   placement::EngineQueue queue = queue_of(*backend_, mean_others_outstanding);
-  // Both already include this request.
+  // Both values of the queue already include this request.
   queue.own_outstanding -= queue.own_outstanding > 0 ? 1 : 0;
   queue.waiting_tokens -= std::min<uint64_t>(queue.waiting_tokens, pending_prefill_tokens_);
   ExpectedFirstEvent expected;
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -17,8 +17,8 @@
 constexpr Duration kOldWeightsGracePeriod = 1200ms;
 /// Holders of a prompt's shared parts are announced to the other routers again after this time.
 constexpr Duration kReannounceInterval = 3s;
-/// Minimum number of shared tokens for a prompt to be written to a store: the store also receives the part
-/// that belongs to the request alone.
+/// Minimum number of shared tokens for a prompt to be written to a store. With fewer, writing is not worth
+/// it, since the store also receives the part that belongs to the request alone.
 constexpr uint32_t kMinStoredTokens = 1000;
 
 }  // namespace
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -1,6 +1,6 @@
-/// ActiveRequest: versions. For a service with a rollout of another software version in progress: which of
-/// its backends a request may go to, and the statistics of its responses. Also the weights version that
-/// produced a response.
+/// ActiveRequest: versions. While a rollout of another software version is in progress for a service, selects
+/// the backends that a request may be sent to by their version, and keeps statistics of the responses. Also
+/// handles the weights version that produced a response.
 #include <algorithm>
 
 #include "src/dispatch/active_request.h"
@@ -37,7 +37,7 @@
   if (limits.rollout->phase == fleet::RolloutPhase::kTrial && in_trial_sample_) {
     restrict_to_sample(found, *limits.rollout);
   }
-  // A version all of whose backends were already tried, or are loading weights, counts as unavailable.
+  // A version counts as unavailable if each of its backends was already tried or is loading weights.
   int best = rollout::VersionLimits::kNever;
   for (const BackendPtr& backend : found) {
     if (!backend->record.loading && tried_.count(backend->record.id) == 0) {
