--- a/src/delivery/outlier_detector.h
+++ b/src/delivery/outlier_detector.h
@@ -1,5 +1,5 @@
-/// Outlier detection: ejects backends that fail repeatedly for a while, then lets a single request probe
-/// each.
+/// Outlier detection: temporarily ejects backends that fail several times in a row. After an ejection, a
+/// single request probes the backend.
 #pragma once
 
 #include <map>
@@ -41,8 +41,8 @@
   static bool usable(Handle backend, TimePoint now) {
     return now >= backend->ejected_until && (!backend->half_open || now >= backend->probe_until);
   }
-  /// Records that a request is sent there. A half-open backend gets no other until its outcome, or the
-  /// time-out.
+  /// Records that a request is sent to a backend. A half-open backend gets no other request until this one
+  /// has an outcome or the probe times out.
   void on_dispatch(const std::string& backend, TimePoint now);
   /// Number of backends that are ejected now.
   size_t ejected(TimePoint now) const;
--- a/src/delivery/retry_budget.h
+++ b/src/delivery/retry_budget.h
@@ -19,7 +19,7 @@
 
 /// Estimates the number of routers that share the fixed part of the budget, erring on the high side: after a
 /// restart of the fleet, the control plane learns of one router after the other, and retries of routers that
-/// have gone still count for a window.
+/// no longer exist still count until they leave the window.
 class RouterCountEstimate {
  public:
   /// `settle`: time for which a lower count must be reported before it applies. 0: counts apply at once, and
@@ -49,7 +49,7 @@
 };
 
 /// Counts the requests and retries of one service in a sliding window, and decides whether another retry is
-/// allowed. One for each service.
+/// allowed. There is one instance for each service.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetOptions& options) : options_(options) {}
