--- a/src/control/assigned_caches.h
+++ b/src/control/assigned_caches.h
@@ -1,6 +1,6 @@
 /// The caches that this member is assigned to follow. The assignment is updated incrementally: only backends
 /// that were added or removed are evaluated, so that the cost depends on the number of changes and not on the
-/// size of the fleet. Evaluating all of 10,000 caches ten times a second took a member a third of a core.
+/// size of the fleet. Evaluating all of 10,000 caches ten times a second used a third of a core on a member.
 /// Performs no I/O.
 #pragma once
 
--- a/src/control/cache_event_poller.cc
+++ b/src/control/cache_event_poller.cc
@@ -10,8 +10,8 @@
 
 /// Delay before an unreachable cache is polled again.
 constexpr Duration kUnreachableRetryInterval = 300ms;
-/// Minimum time from one poll of a cache to the next, in which events accumulate. It grows with the number of
-/// caches, which limits a member to about 500 polls a second.
+/// Minimum time from one poll of a cache to the next, in which events accumulate. With many caches the
+/// minimum is kPollIntervalPerCache times their number, which limits a member to about 500 polls a second.
 constexpr Duration kMinPollInterval = 30ms;
 constexpr Duration kPollIntervalPerCache = 2ms;
 /// Number of caches whose initial read is started by each call of poll(), about 66 a second. An initial read
--- a/src/control/cache_event_poller.h
+++ b/src/control/cache_event_poller.h
@@ -42,7 +42,8 @@
     bool reachable = false;
     bool polling = false;
     TimePoint next_poll{0};
-    uint64_t generation = 0;  ///< identifies answers to polls of an earlier cache at this address
+    /// Answers to polls of another generation belong to an earlier cache at this address.
+    uint64_t generation = 0;
     fleet::CacheChanges unreported;
     bool report_due = false;  ///< something is to be reported: `unreported`, or a change of `reachable`
   };
--- a/src/control/cache_index.cc
+++ b/src/control/cache_index.cc
@@ -96,7 +96,7 @@
   for (auto& [holder, cache] : caches_) {
     if (cache.follower != self_) {
       // The follower will report shared parts again once they are marked, but not what the cache drops before
-      // that. Its parts are therefore removed here.
+      // that. The parts of the cache are therefore removed here.
       remove_parts(holder, cache);
       continue;
     }
--- a/src/control/caller_assignment.cc
+++ b/src/control/caller_assignment.cc
@@ -70,7 +70,8 @@
 }
 
 /// The zone that gets the next unassigned router; nullptr when all quotas are filled. Picks the zone with the
-/// most routers still to receive and to give away; if picked last, it would be left with its own routers.
+/// most routers still to receive and to give away, because a zone picked last would be left with only its own
+/// routers.
 ZoneQuota* select_recipient(std::vector<ZoneQuota>& entries) {
   ZoneQuota* best = nullptr;
   const auto unsettled = [](const ZoneQuota& entry) {
--- a/src/control/caller_assignment.h
+++ b/src/control/caller_assignment.h
@@ -14,9 +14,9 @@
 /// all callers of the zone when it fails.
 inline constexpr size_t kRoutersPerReserveRouter = 8;
 
-/// The zone to whose callers each router of one region is assigned, by router. `zones`: the zone in which
-/// each router lies. Each zone is assumed to have the same number of callers. The result depends on `zones`
-/// alone, and adding or removing a router changes the assignment of few others.
+/// Returns, by router, the zone whose callers the router is assigned to. `zones`: the zone in which each
+/// router of the region lies. Each zone is assumed to have the same number of callers. The result depends on
+/// `zones` alone, and adding or removing a router changes the assignment of few others.
 std::map<std::string, std::string> assign_routers_to_zones(const std::map<std::string, std::string>& zones);
 
 }  // namespace stoat::control
--- a/src/control/control_core.h
+++ b/src/control/control_core.h
@@ -49,8 +49,9 @@
   /// Starts a confirmed read. It is answered like propose_command(), with an empty result, once this
   /// member's state is current.
   void read(uint64_t token, TimePoint now);
-  /// True when this member should request to join: it is not in its member list, or knows no leader. Its list
-  /// may never have been committed, in which case the other members do not know this one.
+  /// True when this member should request to join: it is not in its own copy of the member list, or it knows
+  /// no leader. In the second case its copy may never have been committed, so that the other members do not
+  /// know this member.
   bool wants_to_join() const;
   /// Handles a join request of another member. Requests of listed members are ignored.
   void on_join(const wire::JoinRequest& request, TimePoint now);
--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -95,8 +95,8 @@
   Findings findings;
   fleet::StartServiceRollout order = read_rollout_order(exchange->body(), interface_.field_names, findings);
   if (!findings.empty()) {
-    // An unknown service is only added to other findings. Alone, it is left to the command's checks when the
-    // log applies it, because this member may lag behind.
+    // An unknown service is reported here only together with other findings. If it is the only fault, the
+    // check is left to the state machine when it applies the command, because this member may lag behind.
     if (!order.service.empty() && !fleet_.has_service(order.service)) {
       const std::string message = "'" + order.service + "' is no service with back ends";
       findings.add({"configuration", 0, 0, "rollout.service", message});
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -27,7 +27,7 @@
   // heartbeat
   std::string software = "software";
   std::string started = "started_ms";  ///< Unix time of the backend's start, in ms; also in a report
-  std::string heartbeat_address = "heartbeat_address";  ///< in the reply: where to send later ones
+  std::string heartbeat_address = "heartbeat_address";  ///< in the reply: where to send later heartbeats
   // operator's order to roll out another version of a service
   std::string rollout_target = "target_version";
   std::string rollout_seconds = "duration_s";
--- a/src/control/fleet_permits.cc
+++ b/src/control/fleet_permits.cc
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Rounds up, because a permit that becomes valid late does no harm.
+/// Converts to milliseconds, rounded up, because a permit that becomes valid late does no harm.
 int64_t to_milliseconds_up(Duration span) { return to_milliseconds(span + 1ms - 1us); }
 
 }  // namespace
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -13,20 +13,21 @@
 /// A router that follows this member reports its status every 400 ms; other routers report every 1.2 s.
 constexpr Duration kFollowingRouterTimeout = 1500ms;
 constexpr Duration kOtherRouterTimeout = 3500ms;
-/// For this long, a new configuration is sent only by the member that a router follows.
+/// For this long after a member has applied a new configuration, it sends the configuration only to the
+/// routers that follow it.
 constexpr Duration kOtherRouterConfigurationDelay = 400ms;
 /// Minimum interval before the same configuration is sent to a router again.
 constexpr Duration kConfigurationResendDelay = 1s;
-/// Number of retirements sent to a newly connected router; backends retired earlier are in no registry any
-/// more.
+/// Number of retirements sent to a newly connected router; backends retired earlier are no longer in
+/// any registry.
 constexpr uint64_t kMaxRecentRetirements = 256;
-/// No feed messages are added while this many bytes are unsent to a router: once it catches up, newer values
-/// have replaced the older ones.
+/// No feed messages are added while this many bytes are unsent to a router: once the router catches up, newer
+/// values have replaced the older ones.
 constexpr size_t kMaxUnsentBytes = 64U << 10U;
 /// A member that has had no confirmation of a leader for this long is considered cut off: heartbeats it
 /// receives do not reach the others. Elections take less time than this; backends count as lost after 4 s.
 constexpr Duration kIsolationTimeout = 1s;
-/// Number of versions of each model's weights sent to routers, the newest ones.
+/// Number of the newest versions of each model's weights that are sent to routers.
 constexpr size_t kMaxNamedVersions = 6;
 
 }  // namespace
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -163,7 +163,7 @@
       loop_, endpoint,
       [this](const ChannelPtr& from, wire::Message message) { on_message(from, std::move(message)); },
       [](const ChannelPtr&) {});
-  // The zone is unknown until the first update from this member.
+  // The other member's zone is unknown until its first update arrives.
   channel->set_meter(traffic_,
                      settings_.topology.distance(settings_.zone, soft_state_.zone_of_peer(address)));
   return channel;
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -60,7 +60,7 @@
 struct RolloutProgress {
   TimePoint ordered_at{0};
   TimePoint step_started_at{0};
-  TimePoint others_seen_at{0};  ///< when a serving backend of another version was last registered
+  TimePoint others_seen_at{0};  ///< when the registry last contained a serving backend of another version
   rollout::VersionJudge judge;
   rollout::AnswerTable judged_sums;  ///< answer sums already passed to `judge`
   bool step_proposed = false;        ///< a step was proposed and has not been seen to commit
@@ -70,7 +70,7 @@
 /// Reads the settings of a control member. Invalid values are reported as findings of `reader`.
 FleetControlSettings read_fleet_control_settings(SettingsReader& reader);
 
-/// Where a backend should send its later heartbeats; part of the reply to each one.
+/// Where a backend should send its later heartbeats; part of the reply to each heartbeat.
 enum class HeartbeatAdvice : uint8_t {
   kNone,      ///< no preference
   kStayHere,  ///< to this member: it is the nearest
@@ -152,7 +152,7 @@
   void send_to_peer(const consensus::Message& message);
   /// Connection for latency-sensitive messages: the log and requests to the leader.
   ChannelPtr channel_to(const std::string& address);
-  /// Separate connection for everything else, so that bulk data does not delay those messages.
+  /// Separate connection for all other messages, so that bulk data does not delay the latency-sensitive ones.
   ChannelPtr bulk_channel_to(const std::string& address);
   ChannelPtr open_channel(std::map<std::string, ChannelPtr>& channels, const std::string& address);
   ChannelPtr leader_channel();
@@ -254,7 +254,8 @@
   std::unique_ptr<ControlCore> core_;
   std::unique_ptr<DurableDriver> driver_;
   std::unique_ptr<wire::ChannelServer> channels_;
-  std::map<std::string, ChannelPtr> peer_channels_;  ///< by internal address, or "id " and the id for replies
+  /// By internal address; for replies, by "id " and the member's id.
+  std::map<std::string, ChannelPtr> peer_channels_;
   std::map<std::string, ChannelPtr> bulk_channels_;  ///< by internal address
   std::set<std::string> join_addresses_;             ///< learned from members, to send join requests to
   std::map<uint64_t, PendingCall> pending_calls_;
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -78,8 +78,8 @@
   }
   /// Applies a replicated retirement.
   void retire(const std::string& id, fleet::BackendState state) { registry_.retire(id, state); }
-  /// Records a router's status; `follows`: it receives this member's feed. Returns true if the status has
-  /// changed.
+  /// Records a router's status; `follows`: the router receives this member's feed. Returns true if the status
+  /// has changed.
   bool on_router(const fleet::RouterRecord& router, bool follows, TimePoint now);
   void on_router_loads(const fleet::RouterLoads& loads, TimePoint now);
   /// Removes a router that has closed its connection.
@@ -103,7 +103,7 @@
   void announce_rollout_ages(std::vector<fleet::RolloutAge> ages) {
     pending_update_.rollout_ages = std::move(ages);
   }
-  /// Drops the answer counts of all other rollouts.
+  /// Drops the answer counts of all rollouts that are not in `rollouts`.
   void retain_answers(const std::set<uint64_t>& rollouts) { answers_.retain_only(rollouts); }
   /// Applies an update from another member.
   void on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now);
@@ -180,7 +180,8 @@
   bool add_crashes(FeedCursor& cursor, fleet::FleetFeedUpdate& message, TimePoint now) const;
   /// Removes the rate limits of backends that are no longer registered.
   void expire_limits();
-  /// True if the differences since `cursor` are still known; otherwise the feed must start anew.
+  /// True if the differences since `cursor` are still known; otherwise the feed must start from the
+  /// beginning.
   bool can_resume(const FeedCursor& cursor) const;
 
   SoftStateOptions options_;
--- a/src/control/forwarded_calls.h
+++ b/src/control/forwarded_calls.h
@@ -1,6 +1,6 @@
 /// Calls that this member has forwarded to the leader. A call that was sent to a failed leader, or that
-/// arrives during an election, is sent to the next leader, so that it is not lost; its caller waits a second
-/// at most. This requires that any command may be repeated. Performs no I/O.
+/// arrives during an election, is sent to the next leader, so that it is not lost. Its caller waits 1 s at
+/// most. A command may thus be sent more than once, so every command must be safe to repeat. Performs no I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/control/leader_confirmation_tracker.h
+++ b/src/control/leader_confirmation_tracker.h
@@ -1,6 +1,6 @@
-/// How a follower learns when a quorum last confirmed the leader. It passes this on to its routers, which may
-/// accept access keys only while the confirmation is recent. The age of a confirmation counts from when the
-/// request was sent, never from when the answer arrived.
+/// How a follower learns when a quorum last confirmed the leader. The follower passes the confirmation on to
+/// its routers, which may accept API keys only while the confirmation is recent. The age of a confirmation
+/// counts from when the request was sent, never from when the answer arrived.
 #pragma once
 
 #include <cstdint>
--- a/src/control/peer_flow_control.cc
+++ b/src/control/peer_flow_control.cc
@@ -9,8 +9,8 @@
 /// The full state is sent only while no more than this many bytes are queued.
 constexpr size_t kMaxUnsentBytesForFullState = 64U << 10U;
 /// Minimum time between two full states for one member, plus a millisecond for each
-/// kFullStateBytesPerMillisecond bytes of the first: it must arrive over a link that others use as well, and
-/// the member's answer must return.
+/// kFullStateBytesPerMillisecond bytes of the first. In this time the first full state must arrive over a
+/// link that carries other traffic too, and the member's answer must return.
 constexpr Duration kMinFullStateInterval = 400ms;
 constexpr size_t kFullStateBytesPerMillisecond = 1000;
 
--- a/src/control/peer_flow_control.h
+++ b/src/control/peer_flow_control.h
@@ -18,8 +18,8 @@
   /// True when an update may be sent to a member. False when too much data is queued; the member then misses
   /// updates, and must be sent the full state.
   bool accepts_update(const std::string& member, size_t unsent);
-  /// Handles a member's request for the full state. It counts only once the last full state has had time to
-  /// arrive: until then the member repeats requests that it made before it received that state.
+  /// Handles a member's request for the full state. The request is ignored until the last full state has had
+  /// time to arrive, because the member repeats its request until it receives that state.
   void on_full_state_request(const std::string& member, TimePoint now);
   /// True when the full state should be sent to a member now.
   bool full_state_due(const std::string& member, size_t unsent, TimePoint now) const;
--- a/src/control/router_directory.cc
+++ b/src/control/router_directory.cc
@@ -21,10 +21,11 @@
 /// A router that restarts within this time gets its callers back, and the assignment of the other routers
 /// stays as it is.
 constexpr Duration kAssignmentRetention = 20s;
-/// With fewer routers assigned to a zone, its callers are given all routers of the region: the loss of one
-/// would be noticeable.
+/// With fewer routers than this assigned to a zone, its callers are given all routers of the region, because
+/// the loss of one of so few would be noticeable.
 constexpr size_t kMinAssignedRouters = 8;
-/// With a smaller share of the assigned routers ready, callers are given all routers of the region.
+/// When a smaller share than this of the assigned routers is ready, callers are given all routers of the
+/// region.
 constexpr double kMinReadyShare = 0.5;
 /// Maximum number of caller zones whose assignment is cached.
 constexpr size_t kMaxAssignments = 64;
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -38,9 +38,10 @@
   /// Number of routers in ready().
   size_t ready_count(TimePoint now) const;
   /// Up to `limit` ready routers for the callers in a zone: the routers assigned to the zone
-  /// (assign_routers_to_zones), most of which lie in it. All routers of the region when the region is small
-  /// or too few of the assigned ones are ready, and routers of other regions only when the own region has
-  /// none. The selection is stable, since callers leave a router that is no longer listed.
+  /// (assign_routers_to_zones), most of which lie in it. When the region is small or too few of the assigned
+  /// routers are ready, all ready routers of the region are candidates; routers of other regions are
+  /// candidates only when the zone's own region has no ready router. The selection is stable, since callers
+  /// leave a router that is no longer listed.
   std::vector<fleet::RouterRecord> select_for_callers(const std::string& zone, size_t limit,
                                                       TimePoint now) const;
 
@@ -61,9 +62,9 @@
   /// assigned or ready.
   std::vector<fleet::RouterRecord> select_assigned(const std::string& zone,
                                                    const std::vector<fleet::RouterRecord>& list) const;
-  /// The zone to whose callers each router of the region is assigned. Cached until an assignable router
-  /// changes: with a thousand routers, computing it for each of hundreds of queries a second takes a member a
-  /// few percent of a core.
+  /// For each router of the region, the zone whose callers it is assigned to. Cached until an assignable
+  /// router changes: with a thousand routers, computing the assignment for each of hundreds of queries a
+  /// second uses a few percent of a core on a member.
   const std::map<std::string, std::string>& assignment_for(const std::string& zone) const;
   /// Truncates a list to `limit`: routers of the zone first, then others in an order that differs between
   /// zones.
--- a/src/control/weight_rollout.cc
+++ b/src/control/weight_rollout.cc
@@ -24,7 +24,7 @@
   return {};
 }
 
-/// Since when an engine should have had other weights; nullopt when it has the newest ones.
+/// The time since which an engine's weights are outdated; nullopt when it has the newest ones.
 std::optional<TimePoint> outdated_since(const BackendRecord& engine, const TargetWeights& weights) {
   const std::string model = outdated_model(engine, weights).model;
   const auto history = weights.find(model);
--- a/src/control/weight_rollout.h
+++ b/src/control/weight_rollout.h
@@ -73,7 +73,8 @@
                                 const fleet::TargetWeights& weights, TimePoint now);
   void on_order_answer(const std::string& engine, OrderAnswer answer, TimePoint now);
   void on_report(const std::string& engine, const EngineReport& report, TimePoint now);
-  /// True when an engine has seen a fencing token above this leader's, which must then stop sending orders.
+  /// True when an engine has seen a fencing token above this leader's. The leader must then stop sending
+  /// orders.
   bool fenced_off() const { return fenced_off_; }
   size_t in_progress() const { return loads_.size(); }
 
