--- a/src/fleet/backend_registry.h
+++ b/src/fleet/backend_registry.h
@@ -17,7 +17,8 @@
 /// Settings of a registry.
 struct RegistryOptions {
   Duration lost_after = 4s;  ///< time without a heartbeat after which a backend counts as lost
-  /// The same if several routers also report it as unreachable. By then, one heartbeat is overdue.
+  /// Time without a heartbeat after which a backend counts as lost if several routers also report it as
+  /// unreachable. By then, one heartbeat is overdue.
   Duration overdue_after = 1400ms;
   Duration forget_after = 30s;  ///< time without a heartbeat after which the backend is removed
 };
@@ -87,13 +88,13 @@
   /// Removes the previous incarnation of a backend when a newer one appears.
   void replace_previous_incarnation(const BackendRecord& record);
   /// Forgets that an incarnation was the newest of its name, so that a backend that was removed can register
-  /// again whatever its start time.
+  /// again regardless of its start time.
   void forget_incarnation(const std::string& id);
   /// Removes a backend from all tables except `retired_`.
   void drop(const std::string& id);
-  /// A backend whose address was claimed by another one, with a heartbeat that was not the first of that
-  /// backend. Such a heartbeat may have been delayed for seconds, so only the next heartbeats show which of
-  /// the two is alive.
+  /// A backend whose address was claimed by another backend, the claimant, with a heartbeat that was not the
+  /// claimant's first. Such a heartbeat may have been delayed for seconds, so only the next heartbeats show
+  /// which of the two is alive.
   struct Superseded {
     uint64_t sequence = 0;  ///< of the last heartbeat of the superseded backend
     std::string by;
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -45,8 +45,8 @@
 /// this guards against, arrive within seconds.
 inline constexpr size_t kMaxRetired = 4096;
 
-/// An identical order within this time after the first counts as a retry whose acknowledgement was lost;
-/// after it, as a new order. Operators retry for a few seconds only.
+/// An identical rollout order within this time after the first, in milliseconds, counts as a retry whose
+/// acknowledgement was lost; a later one counts as a new order. Operators retry for a few seconds only.
 inline constexpr int64_t kRepeatedOrderWindowMs = 10000;
 
 /// Result of a rollout order.
--- a/src/fleet/revision_table.h
+++ b/src/fleet/revision_table.h
@@ -118,7 +118,7 @@
   std::map<uint64_t, Key> key_by_revision_;  ///< by revision of the last change
   std::set<uint64_t> erased_revisions_;      ///< revisions at which remembered keys were erased
   uint64_t revision_ = 0;
-  uint64_t newest_evicted_revision_ = 0;  ///< the newest erasure that is no longer remembered
+  uint64_t newest_evicted_revision_ = 0;  ///< of the newest erasure that is no longer remembered
   size_t size_ = 0;
 };
 
--- a/src/fleet/service_rollout.h
+++ b/src/fleet/service_rollout.h
@@ -15,7 +15,7 @@
   kWaiting,      ///< no backend of the target version is available yet
   kTrial,        ///< a share of the traffic goes to the target version, whose answers are evaluated
   kSwitching,    ///< all traffic goes to the target version; requests at other versions finish
-  kRollingBack,  ///< rolling back: no new traffic to the target version, not confirmed by all routers yet
+  kRollingBack,  ///< no new traffic to the target version; not all routers have confirmed this yet
   kCompleted,    ///< the target version is the active one
   kRolledBack,   ///< the target version gets no traffic
 };
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Versions set within the time that one or two loads of weights take; more are never relevant at once.
+/// Maximum number of versions kept. Only versions set within the time that one or two loads of weights take
+/// are relevant at once, and there are never more of these.
 constexpr size_t kMaxVersions = 16;
 
 }  // namespace
