--- a/src/consensus/log.h
+++ b/src/consensus/log.h
@@ -24,7 +24,7 @@
   /// The entry at an index. Requires snapshot_index() < index <= last_index().
   const Entry& at(uint64_t index) const { return entries_[index - snapshot_index_ - 1]; }
   /// Entries from index `first` on: at most `max_count` of them and `max_bytes` of payload, but at least one
-  /// if there is any, whatever its size.
+  /// if there is any, regardless of its size.
   std::vector<Entry> slice(uint64_t first, size_t max_count, size_t max_bytes) const;
 
   void append(Entry entry) { entries_.push_back(std::move(entry)); }
--- a/src/consensus/replica_leader.cc
+++ b/src/consensus/replica_leader.cc
@@ -262,7 +262,8 @@
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const uint64_t quorum_match = matches[quorum_size() - 1];
-  // Only entries of the current term are committed by counting replicas; this commits all earlier ones.
+  // Only entries of the current term are committed by counting replicas. Committing one of them also commits
+  // all earlier entries.
   if (quorum_match > commit_ && log_.term_at(quorum_match) == hard_state_.term) {
     advance_commit_to(quorum_match);
   }
