--- a/src/rollout/answer_aggregator.h
+++ b/src/rollout/answer_aggregator.h
@@ -47,7 +47,7 @@
   std::set<fleet::AnswerKey> changed_;
 };
 
-/// Adds the increase from `before` to `now` to each count.
+/// Adds the increase from `before` to `now` of each count to `sums`.
 void add_increase(const fleet::AnswerTotals& now, const fleet::AnswerTotals& before,
                   fleet::AnswerTotals& sums);
 
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -17,7 +17,7 @@
 inline constexpr size_t kLatencyBuckets = 24;
 size_t latency_bucket(Duration time);
 
-/// A condition classifies what makes answers slow whatever the version: the tokens to prefill before the
+/// A condition classifies what makes answers slow with any version: the tokens to prefill before the
 /// first event, and the fraction of the slots in use. Answers under the same condition are comparable. A
 /// condition is at least as hard as another when both its prefill class and its load class are at least as
 /// high.
--- a/src/rollout/rollout_planner.h
+++ b/src/rollout/rollout_planner.h
@@ -38,16 +38,16 @@
   /// Time until all routers have applied a step and the leader knows what was sent before that.
   Duration propagation_time = 500ms;
   uint64_t preferred_answers = 30;  ///< judged answers wanted before a switch
-  uint64_t min_answers = 8;         ///< enough at the last chance for a switch, where the share gives no more
+  uint64_t min_answers = 8;         ///< enough at the last chance for a switch, if the share yields no more
   double max_doubt = 0.5;           ///< no switch at or above this Judgement::doubt
   Duration confirmation_time = 1500ms;  ///< time for the confirmations of all routers and the log
   double max_lead_fraction =
-      1.0 / 3;  ///< longest time for the switch, as a fraction of the time until the deadline
-  double min_lead_fraction = 0.15;  ///< shortest time for the switch, likewise, but at most confirmation_time
+      1.0 / 3;  ///< longest time for the switch, as a fraction of the time from the order to the deadline
+  double min_lead_fraction = 0.15;  ///< shortest time, likewise as a fraction, but at most confirmation_time
   double max_burst_share = 0.5;     ///< maximum share during a burst
   size_t max_rotating_backends = 14;  ///< up to this many backends, bursts reach all of them in rotation
   double spread_after_fraction =
-      0.7;  ///< fraction of the trial after which more than max_rotating_backends all get the share
+      0.7;  ///< with more than max_rotating_backends: fraction of the trial after which all get the share
   double min_capacity_ratio =
       0.5;  ///< ready backends needed for a switch, relative to those of other versions
   Duration min_switch_duration =
--- a/src/rollout/router_confirmations.cc
+++ b/src/rollout/router_confirmations.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A router whose connection was closed reconnects with its next status (400 ms), or has ended.
+/// Time to wait for a router whose connection was closed: it reconnects to send its next status, within
+/// 400 ms, or has ended.
 constexpr Duration kReconnectGrace = 1s;
 
 }  // namespace
--- a/src/rollout/router_confirmations.h
+++ b/src/rollout/router_confirmations.h
@@ -13,7 +13,7 @@
 /// Summary of the routers' reports on one rollout.
 struct RolloutConfirmation {
   bool all_applied = true;      ///< every router that may still serve has applied the step or a later one
-  size_t missing = 0;           ///< number of known routers that have not
+  size_t missing = 0;           ///< number of known routers that have not applied it
   uint64_t others_running = 0;  ///< requests in progress at other versions
   uint64_t target_running = 0;  ///< requests in progress at the target version
 };
--- a/src/rollout/service_versions.cc
+++ b/src/rollout/service_versions.cc
@@ -89,7 +89,8 @@
     return {};
   }
   using Preference = VersionLimits::Preference;
-  // The only version serves even though nothing is known of it; otherwise the service would be down.
+  // Without known active versions, the target version may be the only one. It serves even though nothing is
+  // known of it; otherwise the service would be down.
   const bool is_only_version = rollout->active_versions.empty();
   switch (rollout->phase) {
     case fleet::RolloutPhase::kTrial:
--- a/src/rollout/version_judge.h
+++ b/src/rollout/version_judge.h
@@ -29,7 +29,7 @@
   double threshold = 0;        ///< of the sum of log-likelihood ratios
 };
 
-/// Settings of the judge. The property tests state the rates of wrong verdicts that they result in.
+/// Settings of the judge. The property tests state the rates of wrong verdicts that these settings result in.
 struct JudgeOptions {
   TestOptions failures{0.01, 1.6, 0.08, 0.4, 14};
   TestOptions slowness{0.03, 1.3, 0.08, 0.4, 12};
