--- a/src/topology/topology.h
+++ b/src/topology/topology.h
@@ -29,7 +29,7 @@
   bool operator==(const Location&) const = default;
 };
 
-/// The distance between two places.
+/// The distance between two locations.
 Distance distance(const Location& place, const Location& other);
 
 /// Maps zones to regions. All unknown zones belong to one unnamed region.
