--- a/src/gateway/control_link.cc
+++ b/src/gateway/control_link.cc
@@ -249,7 +249,8 @@
     loop_.after(Duration(0), [this] { send_status_to_all(); });
   }
   if (update->answers == 0 && confirms_configuration(*update) && !key_lease_valid()) {
-    send_status(address, member);  // the lease counts from a status that this router has sent
+    // The lease counts from the sending of a status, so only the answer to a status extends it.
+    send_status(address, member);
   }
 }
 
--- a/src/gateway/gateway_rollouts.cc
+++ b/src/gateway/gateway_rollouts.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A confirmation up to this age still counts as a confirmation by the fleet (rollout::ServiceVersions).
+/// A leader confirmation younger than this also confirms the rollouts that this router knows
+/// (rollout::ServiceVersions::confirm).
 constexpr int64_t kFreshConfirmationMs = 1000;
 
 }  // namespace
@@ -58,7 +59,8 @@
     any_newly_drained = any_newly_drained || (drained && !reported);
     reported = drained;
   }
-  // While a version is on trial, requests still go to the other versions, so they are idle only for a moment.
+  // Reported at once only during a switch: while a version is on trial, requests still go to the other
+  // versions, so these versions are idle only for a moment.
   const auto& all = context_.versions.all();
   const bool switching = std::any_of(all.begin(), all.end(), [](const auto& entry) {
     return entry.second.phase == fleet::RolloutPhase::kSwitching;
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -14,16 +14,17 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 constexpr Duration kShutdownCheckInterval = 50ms;
-/// A router that has just started or lost the control plane needs about this long to serve again.
+/// Retry-After in seconds: a router that has just started, or has lost the control plane, needs about this
+/// long until it can serve.
 constexpr double kStartupRetryAfterS = 2;
 constexpr Duration kEngineQueueMargin = 1500ms;
 /// How often this router's load on the backends is reported, if it has changed.
 constexpr Duration kLoadReportInterval = 100ms;
 /// How often a starting router checks the queued requests.
 constexpr Duration kStartupCheckInterval = 20ms;
-constexpr Duration kTrafficLogInterval = 10s;  ///< between log lines
+constexpr Duration kTrafficLogInterval = 10s;  ///< between log lines with the bytes sent
 constexpr Duration kMetricsInterval = 1s;
-/// How often the requests sent to limited backends are logged, for the first kMaxLimitUsageLines of them.
+/// How often the requests sent to limited backends are logged, for the first kMaxLimitUsageLines backends.
 constexpr Duration kLimitUsageLogInterval = 4s;
 constexpr size_t kMaxLimitUsageLines = 10;
 /// Divisor for the share of the memory that may buffer data for slow clients. The fleet's state takes less
@@ -42,7 +43,7 @@
   settings.link.seeds = read_seed_endpoints(reader);
   settings.fail_closed = reader.flag("fail_closed", true);
   const int64_t revocation_ms = reader.integer("revocation_ms", 5000, 100, 3600000);
-  // The rest of the revocation time is for the way of a request from the edge to the engine.
+  // The rest of the revocation time is left for a request to get from the edge to the engine.
   settings.link.key_lease = Duration(900 * revocation_ms);
   settings.link.router = settings.name;
   settings.link.zone = settings.zone;
@@ -51,7 +52,7 @@
   settings.shutdown_timeout = Duration(1000 * grace_ms) - 700ms;
   // Requests that arrive until then are still served; the longest streams take most of the remaining time.
   settings.stop_listening_after = settings.shutdown_timeout * 3 / 10;
-  // Requests wait at the engine before they run.
+  // The margin covers the time that requests wait at the engine before they run.
   settings.old_weights_timeout =
       Duration(1000 * reader.integer("weights_limit_ms", 8000, 0, 3600000)) - kEngineQueueMargin;
   settings.max_startup_wait = Duration(1000 * reader.integer("start_wait_ms", 2500, 0, 60000));
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -28,6 +28,7 @@
   bool fail_closed = true;             ///< access keys are rejected without a confirmed configuration
   Duration shutdown_timeout = 7s;      ///< from SIGTERM to the end of the process at the latest
   Duration stop_listening_after = 3s;  ///< from SIGTERM until new connections are refused
+  /// Engines with older weights are no longer used after this time since the newer version was announced.
   Duration old_weights_timeout = 6s;
   /// How long a request may wait for a router that has just started. Control members elect a leader within a
   /// second of a restart, and the first heartbeats of backends arrive within a second or so.
@@ -38,7 +39,8 @@
   /// budget.
   Duration router_count_settle_time = 10s;
   events::RequestLogOptions request_log_options;
-  /// An engine queue up to this long costs nothing, since routers learn of a free slot about this much later.
+  /// An engine queue up to this long costs nothing: routers learn of a free slot about this much later, and
+  /// the engine would be idle meanwhile.
   Duration useful_engine_queue = 200ms;
   /// The longest Retry-After for overload.
   Duration longest_retry_after = 10s;
--- a/src/gateway/startup_queue.h
+++ b/src/gateway/startup_queue.h
@@ -1,6 +1,6 @@
 /// Queues requests that arrive before the router can decide about them: it has just started and has no
 /// confirmed configuration yet. After a restart of the whole fleet, this state lasts a second or so. A
-/// client that is refused in it has at most a few attempts left.
+/// client that is refused during this time has at most a few attempts left.
 #pragma once
 
 #include <cstdint>
