--- a/src/edge/client_connection.cc
+++ b/src/edge/client_connection.cc
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr size_t kHeadEndBytes = 4;
-/// How long a client may read nothing of its connection's last response.
+/// A connection whose last response is complete is closed when the client has read nothing for this long.
 constexpr Duration kFlushStallTimeout = 2s;
 /// Bytes of pipelined requests that are read while a response is pending.
 constexpr size_t kMaxReadAhead = 256U << 10U;
 /// The source of a response pauses when more than kPauseThresholdBytes are buffered for the client, and
-/// resumes when no more than kResumeThresholdBytes are left: a client at 10 Mbit/s reads those in 13 ms.
+/// resumes when no more than kResumeThresholdBytes are left: a client at 10 Mbit/s reads the latter in 13 ms.
 /// While too much is buffered over all connections, the source pauses at kResumeThresholdBytes.
 constexpr size_t kPauseThresholdBytes = 64U << 10U;
 constexpr size_t kResumeThresholdBytes = 16U << 10U;
@@ -96,7 +96,7 @@
     close();
     return;
   }
-  // The response is complete: a slow client receives all of it.
+  // The response is complete, so a slow client gets the time to read all of it.
   arm_timer(next_check);
 }
 
--- a/src/edge/client_connection.h
+++ b/src/edge/client_connection.h
@@ -1,4 +1,4 @@
-/// One client connection: reads a request, waits for its response, writes it, and goes on to the next
+/// One client connection: reads a request, waits for its response, writes it, and continues with the next
 /// request.
 #pragma once
 
