--- a/src/events/fleet_events.h
+++ b/src/events/fleet_events.h
@@ -201,7 +201,7 @@
   std::vector<LogField> fields() const { return {{"distance", distance}, {"bytes", bytes}}; }
 };
 
-/// Another member had missed updates and was sent the full state of which this member is the source.
+/// Another member had missed updates, and this member sent it the full state that originates here.
 struct FullStateSent {
   static constexpr const char* kMessage = "whole sent";
   std::string member;
@@ -255,7 +255,8 @@
   }
 };
 
-/// Adds the changes of one backend. nullptr: the backend was not, or is no longer, known.
+/// Appends the changes of one backend to `changes`. `before` is nullptr if the backend was not known, `after`
+/// if it is no longer known.
 void add_backend_changes(const fleet::BackendRecord* before, const fleet::BackendRecord* after,
                          std::vector<BackendChanged>& changes);
 
--- a/src/events/request_event_log.h
+++ b/src/events/request_event_log.h
@@ -61,8 +61,8 @@
   void add(const Event& event) {
     lines_.push_back({log_now(), Event::kMessage, event.fields()});
   }
-  /// Writes the events, unless they are not sampled or over the limit. `failed_or_late`: not subject to
-  /// sampling.
+  /// Writes the events, unless they are not sampled or over the limit. `failed_or_late`: the request failed
+  /// or was late, so its events are written even if it is not in the sample.
   void finish(RequestLogSampler& sampler, bool failed_or_late, const std::string& outcome, TimePoint now);
 
  private:
--- a/src/events/rollout_events.h
+++ b/src/events/rollout_events.h
@@ -29,7 +29,7 @@
   return "unknown";
 }
 
-/// A rollout was accepted or has taken a step; with the counts of this member at that time.
+/// A rollout was accepted or has taken a step. The counts are those that this member has at that time.
 struct ServiceRolloutStepped {
   static constexpr const char* kMessage = "service rollout stepped";
   fleet::ServiceRollout rollout;
