--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -21,7 +21,7 @@
 
   /// A string; `fallback` when the key is missing.
   std::string text(const std::string& key, const std::string& fallback);
-  /// A string that must be present and not empty; a finding otherwise.
+  /// A string that must be present and not empty. Otherwise adds a finding and returns an empty string.
   std::string required_text(const std::string& key);
   /// An integer within [low, high]; `fallback` when the key is missing.
   int64_t integer(const std::string& key, int64_t fallback, int64_t low, int64_t high);
--- a/src/common/time.h
+++ b/src/common/time.h
@@ -43,7 +43,8 @@
 
 /// Time since boot (CLOCK_BOOTTIME). It never steps, and it advances while the machine is suspended, so that
 /// a lease that expires during a suspend is seen as expired. Timers of event loops use the steady clock,
-/// which does not advance then, and fire late. Only event loops and programs may call this function.
+/// which does not advance during a suspend, so these timers fire late. Only event loops and programs may call
+/// this function.
 inline TimePoint monotonic_now() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);  // fails only if the kernel lacks this clock
