--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -12,9 +12,9 @@
 /// Exit statuses of stoatctl. Listed in docs/OPERATIONS.md.
 enum class ExitStatus : int {
   kDone = 0,
-  kRefused = 1,      ///< a control member refused the call; for explain, no line names the request
+  kRefused = 1,      ///< a control member refused the call; explain: no log line names the request
   kBadInput = 2,     ///< wrong flags, arguments or file
-  kUnreachable = 4,  ///< no control member answers, or none leads
+  kUnreachable = 4,  ///< no control member answers, or there is no leader
 };
 
 /// Parsed command line of stoatctl.
