--- a/src/http/client.h
+++ b/src/http/client.h
@@ -25,7 +25,8 @@
   std::vector<Header> headers;
   std::string body;
   Duration timeout = 30s;  ///< limit for connecting and for inactivity on the connection
-  /// Do not reuse an idle connection: if it is lost, it is unknown whether the server executed the request.
+  /// Open a new connection instead of reusing an idle one. If a reused connection is lost, it is unknown
+  /// whether the server executed the request.
   bool fresh_connection = false;
 };
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -23,7 +23,8 @@
 };
 
 /// One request and its reply. The reply must be ended exactly once, by reply(), by start_stream() followed by
-/// end_stream(), or by abort(). An exchange that is destroyed before that replies with status 500.
+/// end_stream(), or by abort(). If the exchange is destroyed before its reply has ended, it replies with
+/// status 500.
 class Exchange {
  public:
   explicit Exchange(evhttp_request* request);
