--- a/src/storage/record_log.cc
+++ b/src/storage/record_log.cc
@@ -12,7 +12,7 @@
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kChecksumBytes = 8;
 constexpr size_t kHeaderBytes = kLengthBytes + kChecksumBytes;
-/// Checksum seed, so that a run of zero bytes is never a valid record.
+/// Seed of the checksums. With this seed, a run of zero bytes is never a valid record.
 constexpr uint64_t kChecksumSeed = 0x7265636f7264ULL;
 
 uint64_t checksum_of(std::string_view payload) { return hash_bytes(payload, kChecksumSeed + payload.size()); }
