--- a/src/wire/channel.cc
+++ b/src/wire/channel.cc
@@ -53,7 +53,8 @@
                                           MessageHandler on_message, ClosedHandler on_closed) {
   bufferevent* connection = http::start_connection(loop.base(), endpoint, kUnacknowledgedTimeout);
   if (connection == nullptr) {
-    // Behave as if the peer had refused: return a channel whose closed handler is called from the loop.
+    // Behave as if the peer had refused the connection: return a channel whose closed handler is called from
+    // the loop.
     connection = bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     auto channel = adopt(connection, std::move(on_message), std::move(on_closed));
     bufferevent_trigger_event(connection, BEV_EVENT_ERROR, BEV_TRIG_DEFER_CALLBACKS);
@@ -75,8 +76,8 @@
     return;
   }
   if (unsent_bytes() > kMaxUnsentBytes) {
-    // Close from the loop rather than here: a call of send_frame() must not close the channel under its
-    // caller.
+    // Close from the loop rather than here, because the caller of send_frame() does not expect the channel to
+    // be closed during the call.
     overflowed_ = true;
     bufferevent_trigger_event(connection_, BEV_EVENT_ERROR, BEV_TRIG_DEFER_CALLBACKS);
     return;
--- a/src/wire/channel.h
+++ b/src/wire/channel.h
@@ -22,7 +22,7 @@
 inline constexpr uint32_t kMaxFrameBytes = 64U << 20U;
 
 /// Limit in bytes for data queued on a connection. Sending while more than this is queued closes the
-/// connection. The message that exceeds the limit is still queued as a whole.
+/// connection. The message that takes the queue above the limit is still queued as a whole.
 inline constexpr size_t kMaxUnsentBytes = 16U << 20U;
 
 /// How long sent data may stay unacknowledged before the connection is closed.
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -21,7 +21,7 @@
   void write(const char*, size_t length) { bytes += length; }
 };
 
-/// Encoded size of a list in bytes; 0 if it is empty, because the byte or so of an empty list's header is
+/// Encoded size of a list in bytes; 0 if it is empty, because the header of an empty list, about one byte, is
 /// counted as part of the message.
 template <typename Value>
 uint64_t encoded_size(const std::vector<Value>& list) {
--- a/src/wire/traffic.h
+++ b/src/wire/traffic.h
@@ -25,7 +25,7 @@
   kRouters,        ///< routers that joined, changed or left
   kLoads,          ///< requests in flight
   kCaches,         ///< contents of KV caches
-  kPlacements,     ///< prompts that backends have just read
+  kPlacements,     ///< prompt parts whose KV cache was recently computed
   kQuotaUsage,     ///< quota usage of tenants
   kQuotaLevels,    ///< quota levels of tenants
   kFullStates,     ///< the full state of a member, for a peer that lacks it
