--- a/tools/chaos_main.cc
+++ b/tools/chaos_main.cc
@@ -22,11 +22,12 @@
 constexpr uint32_t kPlainServices = 3;
 constexpr char kLimitedBackend[] = "service-1";
 constexpr double kRateLimit = 1;
-/// The requests sent to it may exceed the limit by this factor, and by kLimitSlack requests in addition.
+/// The requests sent to kLimitedBackend may exceed its limit by this factor, and by kLimitSlack requests in
+/// addition.
 constexpr double kLimitTolerance = 1.5;
 constexpr double kLimitSlack = 5;
-/// Requests that all routers together may send to a restarted backend before they learn its limit: those of
-/// 0.2 s.
+/// Requests that all routers together may send to a restarted backend before they learn its limit: the
+/// requests sent within 0.2 s.
 constexpr double kRequestsBeforeLimitIsKnown = 10;
 
 struct ChaosSettings {
--- a/tools/loopback_fleet.h
+++ b/tools/loopback_fleet.h
@@ -26,7 +26,8 @@
   std::string crash_on;           ///< plain services crash on request bodies with this text; empty: never
 };
 
-/// The processes are named control-1, router-1, engine-1, service-1 and so on.
+/// Starts and inspects the processes of the fleet. They are named control-1, router-1, engine-1, service-1
+/// and so on.
 class LoopbackFleet {
  public:
   LoopbackFleet(ProcessFleet& processes, const LoopbackFleetOptions& options);
@@ -55,7 +56,7 @@
   /// The ids of all requests that started to run at any backend, once for each start. Includes runs of
   /// backends that were killed since.
   std::multiset<std::string> runs() const;
-  /// The same for one backend.
+  /// The same as runs(), for one backend.
   std::multiset<std::string> runs_at(const std::string& name) const;
 
  private:
--- a/tools/process_fleet.cc
+++ b/tools/process_fleet.cc
@@ -18,7 +18,8 @@
 
 namespace {
 
-/// Ports below the ephemeral range, from which the kernel takes ports for outgoing connections.
+/// First and last port of the fleets. Both are below the ephemeral range, from which the kernel takes ports
+/// for outgoing connections.
 constexpr uint16_t kFirstPort = 20000;
 constexpr uint16_t kLastPort = 29999;
 constexpr Duration kPollInterval = 10ms;
--- a/tools/process_fleet.h
+++ b/tools/process_fleet.h
@@ -26,9 +26,9 @@
   /// Returns a loopback endpoint whose port is currently free and was not returned before. Throws
   /// std::runtime_error if there is none.
   Endpoint free_endpoint();
-  /// Adds a process without starting it: its program and its "key=value" settings.
+  /// Adds a process, given by its program and its "key=value" settings, without starting it.
   void add(const std::string& name, const std::string& program, const std::vector<std::string>& settings);
-  /// Its output is appended to the log file NAME.log.
+  /// Starts a process. Its output is appended to the log file NAME.log.
   void start(const std::string& name);
   /// Sends SIGTERM and waits. Returns the exit status, 128 + N if signal N ended the process, or -1 if it had
   /// to be killed after `limit`.
