--- a/simulation/control_simulation.h
+++ b/simulation/control_simulation.h
@@ -70,7 +70,7 @@
   int leader() const;
   /// Drops all messages between this member and the other members.
   void isolate(size_t position);
-  /// Drops the messages in this one direction.
+  /// Drops all messages from one member to the other, but not those in the opposite direction.
   void cut_link(size_t from, size_t to);
   void heal_network() { network_.heal_all(); }
   SimulatedNetwork& network() { return network_; }
--- a/simulation/event_queue.h
+++ b/simulation/event_queue.h
@@ -17,7 +17,7 @@
 
   TimePoint now() const { return now_; }
 
-  /// A time in the past counts as now.
+  /// Schedules an action. A time in the past counts as now.
   void schedule_at(TimePoint when, Action action) {
     events_.push({std::max(when, now_), ++last_sequence_, std::move(action)});
   }
--- a/simulation/simulated_member.h
+++ b/simulation/simulated_member.h
@@ -46,7 +46,7 @@
 
   bool running() const { return core_ != nullptr; }
   bool paused() const { return paused_; }
-  /// Whether it has a log or a snapshot.
+  /// Whether the member is running and has a log or a snapshot.
   bool has_state() const { return running() && core_->replica().last_index() > 0; }
   const std::string& name() const { return name_; }
   consensus::MemberId id() const { return identity_.id; }
