--- a/tests/property/service_rollout_property_test.cc
+++ b/tests/property/service_rollout_property_test.cc
@@ -16,7 +16,7 @@
 
 constexpr uint64_t kRollouts = 100000;
 constexpr unsigned kThreads = 4;
-/// Bad answers before the switch from which on a version must be detected.
+/// Number of bad answers before the switch from which a bad version must be detected.
 constexpr double kClearlyBadAnswers = 100;
 
 struct Outcomes {
