--- a/tests/simulation/rollout_scenarios_test.cc
+++ b/tests/simulation/rollout_scenarios_test.cc
@@ -17,8 +17,8 @@
 constexpr Duration kStep = 20ms;
 constexpr Duration kLoadTime = 630ms;
 constexpr Duration kStartDelay = 2500ms;
-/// Time from the last message of a leader until the next one may send orders: the holder's lease plus a
-/// margin.
+/// Time from the last message of a leader until the next leader may send orders: the default of the setting
+/// holder_lease (3 s) plus kOrderLease (400 ms) as a margin.
 constexpr Duration kLeaderGap = 3400ms;
 
 /// One engine: accepts an order, and has the version after the load time.
