--- a/tests/unit/cache_event_poller_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -112,7 +112,7 @@
     EXPECT_LE(engines_.requests.size() - before, 2U);
     ASSERT_LT(polls, 150U);
   }
-  // Once they could be read, all caches are polled together.
+  // Once all caches have answered, they are polled together.
   const CacheEvents events{7, 3, false, {}};
   while (!engines_.requests.empty()) {
     engines_.answer(&events);
@@ -224,7 +224,7 @@
 TEST_F(ChainMemoryTest, DropEventForAnUnreportedPartIsIgnored) {
   memory_.follow(&trust_);
   memory_.note_held({1}, kWeights, 1s);
-  memory_.drop_holding(1);  // of an earlier copy
+  memory_.drop_holding(1);  // refers to an earlier copy
   EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 1000U);
   memory_.set_holding(1, kWeights, 1000);
   memory_.drop_holding(1);
--- a/tests/unit/dead_engines_test.cc
+++ b/tests/unit/dead_engines_test.cc
@@ -35,7 +35,7 @@
         break;
       }
       filler = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      // It may stay in progress for ever, which is intended.
+      // The connection attempt may stay in progress indefinitely, which is intended.
       (void)::connect(filler, reinterpret_cast<sockaddr*>(&address), length);
     }
   }
--- a/tests/unit/fleet_members_test.cc
+++ b/tests/unit/fleet_members_test.cc
@@ -43,8 +43,8 @@
   start(1, false);
   ASSERT_TRUE(commit_eventually(2, 1));
   ASSERT_TRUE(eventually([&] { return members_[1]->voters() == 3; }));
-  // Its disk counts towards the quorum again: without the member that bootstrapped the fleet, the other two
-  // continue with the complete state.
+  // The disk of the rejoined member counts towards the quorum again: without the member that bootstrapped the
+  // fleet, the other two continue with the complete state.
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   members_.erase(0);
   EXPECT_TRUE(eventually([&] { return members_[1]->read() == std::optional<std::string>("v2"); }));
@@ -73,8 +73,8 @@
 }
 
 TEST_F(FleetMembersTest, NextLeaderOrdersWeightsFromReplicatedSoftState) {
-  // Regression test from runs with large fleets: what the leader knew of engines and of announced weight
-  // versions was lost with it.
+  // Regression test from runs with large fleets: when a leader failed, what it knew of engines and of
+  // announced weight versions was lost.
   start_all();
   ASSERT_TRUE(commit_eventually(1, 0));
   fleet::BackendRecord engine;
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -375,9 +375,8 @@
 }
 
 TEST(VersionHistory, EachVersionAgesIndependentlyOfLaterOnes) {
-  // Guards against a later version resetting the age of an earlier one: an engine that came back with version
-  // 1 was used 8.5 s after version 2 had been announced, because version 3 had restarted the clock of
-  // version 2.
+  // Guards against a later version resetting the age of an earlier one: an engine that rejoined with version
+  // 1 was used 8.5 s after version 2 had been announced, because version 3 had reset the age of version 2.
   fleet::VersionHistory wanted;
   wanted.note(2, 4s);
   wanted.note(3, 12s);
--- a/tests/unit/fleet_soft_state_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -356,7 +356,7 @@
   second_.expire(later);
   EXPECT_FALSE(second_.registry().find("e1")->lost);
   EXPECT_EQ(second_.registry().find("e1")->sequence, 2U);
-  second_.on_peer_update(peer_update, later + 5s);  // an old mark is not a sign of life
+  second_.on_peer_update(peer_update, later + 5s);  // an old mark does not show that e1 is alive
   second_.expire(later + 5s);
   EXPECT_TRUE(second_.registry().find("e1")->lost);
   first_.on_heartbeat(engine_record("e1", 3), later + 5s);
@@ -410,7 +410,7 @@
   fleet::CacheChanges changes;
   changes.holder = "s:1";
   changes.claim = 1;
-  changes.holdings = {{11, 2, 100}, {11, 1, 0}};  // a KV store drops the old ones long after
+  changes.holdings = {{11, 2, 100}, {11, 1, 0}};  // a KV store drops parts of old weights late
   mirror.apply("a", changes);
   EXPECT_EQ(mirror.full_contents("s:1").holdings.at(0).tokens, 100U);
 }
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -456,7 +456,7 @@
   });
   ASSERT_TRUE(done->get_future().get());
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  // A heartbeat that was in transit must not bring it back.
+  // A heartbeat that was in transit must not make the retired engine usable again.
   add_engine("e1", "calls", engine);
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   EXPECT_EQ(status_of(send_request("GET", "/safe/", "q2")), "HTTP/1.1 503");
--- a/tests/unit/large_fleet_test.cc
+++ b/tests/unit/large_fleet_test.cc
@@ -192,7 +192,7 @@
   run(1);
   run(3 * kStepsPerHeartbeat);
   EXPECT_EQ(full_states_sent_, 1U);
-  EXPECT_GT(full_state_bytes_, 3 * kBytesPerStep);  // it takes several request intervals to arrive
+  EXPECT_GT(full_state_bytes_, 3 * kBytesPerStep);  // the state takes several request intervals to arrive
   for (const auto& member : members_) {
     for (const auto& [to, connection] : member->connections) {
       EXPECT_EQ(connection.unsent, 0U);
--- a/tests/unit/late_heartbeats_test.cc
+++ b/tests/unit/late_heartbeats_test.cc
@@ -1,5 +1,5 @@
 /// Heartbeats delayed by a network partition: they arrive after another incarnation of the backend has
-/// registered at the same address, and must not displace it for good.
+/// registered at the same address, and must not displace that incarnation permanently.
 #include <gtest/gtest.h>
 
 #include "src/fleet/backend_registry.h"
--- a/tests/unit/load_gateway_test.cc
+++ b/tests/unit/load_gateway_test.cc
@@ -18,7 +18,8 @@
 /// Engines of the small fleet have 8 slots, and runs are assumed to last 300 ms before any has ended: with
 /// this many requests the expected wait is 225 ms, above the accepted 200 ms, and with one less it is 188 ms.
 constexpr size_t kRequestsThatFillTheEngine = 13;
-/// With this many it is 1238 ms: a request with a timeout of 1 s can't be served, one of 2 s can.
+/// With this many requests the expected wait is 1238 ms: a request with a timeout of 1 s can't be served, one
+/// of 2 s can.
 constexpr size_t kRequestsThatOverloadTheEngine = 40;
 
 class LoadGatewayTest : public test::SmallFleet {
--- a/tests/unit/peer_flow_control_test.cc
+++ b/tests/unit/peer_flow_control_test.cc
@@ -31,7 +31,7 @@
   feeds.on_full_state_request("a", 1s + 300ms);
   feeds.on_full_state_request("a", 3s);
   EXPECT_FALSE(feeds.full_state_due("a", 0, 3s));
-  feeds.on_full_state_request("a", 4s);  // it had 3 s for 2 MB: the full state was lost
+  feeds.on_full_state_request("a", 4s);  // 3 s after sending its 2 MB, the full state counts as lost
   EXPECT_TRUE(feeds.full_state_due("a", 0, 4s));
 }
 
--- a/tests/unit/weight_rollout_test.cc
+++ b/tests/unit/weight_rollout_test.cc
@@ -28,7 +28,7 @@
   return list;
 }
 
-/// Records versions as named now, unless they are known.
+/// Records `now` as the time at which each version was announced, unless an earlier time is already recorded.
 void record_versions(fleet::TargetWeights& named, const std::map<std::string, uint64_t>& weights,
                      TimePoint now) {
   for (const auto& [model, version] : weights) {
