--- a/src/admission/backend_limits.cc
+++ b/src/admission/backend_limits.cc
@@ -142,29 +142,29 @@
 }
 
 fleet::PermitRequest BackendLimits::take_permit_request(TimePoint now) {
-  fleet::PermitRequest question;
-  question.number = last_request_number_ + 1;
+  fleet::PermitRequest permit_request;
+  permit_request.number = last_request_number_ + 1;
   for (auto& [backend, limited] : limited_backends_) {
     if (!permit_request_due(limited, now)) {
       continue;
     }
-    question.wishes.push_back({backend, limited.per_second, usable_permits(limited, now)});
+    permit_request.items.push_back({backend, limited.per_second, usable_permits(limited, now)});
     limited.unmet_requests = 0;
-    limited.pending_request = question.number;
+    limited.pending_request = permit_request.number;
     limited.requested_at = now;
   }
-  last_request_number_ += question.wishes.empty() ? 0 : 1;
-  return question;
+  last_request_number_ += permit_request.items.empty() ? 0 : 1;
+  return permit_request;
 }
 
-void BackendLimits::apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now) {
-  const Duration wait = Duration(1000 * std::max<int64_t>(0, terms.wait_ms));
-  limited.denied = terms.count == 0;
+void BackendLimits::apply_grant(LimitedBackend& limited, const fleet::GrantedPermits& grant, TimePoint now) {
+  const Duration wait = Duration(1000 * std::max<int64_t>(0, grant.wait_ms));
+  limited.denied = grant.count == 0;
   if (limited.denied) {
     limited.retry_at = now + std::max(wait, kMinPermitRetryDelay);
     return;
   }
-  limited.permits = terms.count;
+  limited.permits = grant.count;
   // Both ends lie within the interval that the leader reserved: it answered after the request was sent and
   // before now.
   limited.usable_from = now + wait;
@@ -172,11 +172,11 @@
 }
 
 void BackendLimits::on_permit_answer(const fleet::PermitResponse& answer, TimePoint now) {
-  for (const fleet::GrantedPermits& terms : answer.terms) {
-    const auto known = limited_backends_.find(terms.backend);
+  for (const fleet::GrantedPermits& grant : answer.grants) {
+    const auto known = limited_backends_.find(grant.backend);
     if (known != limited_backends_.end() && known->second.pending_request == answer.number) {
       known->second.pending_request = 0;
-      apply_terms(known->second, terms, now);
+      apply_grant(known->second, grant, now);
     }
   }
   for (auto& [backend, limited] : limited_backends_) {
--- a/src/admission/backend_limits.h
+++ b/src/admission/backend_limits.h
@@ -103,7 +103,7 @@
   /// since the last permit request.
   static uint32_t usable_permits(const LimitedBackend& limited, TimePoint now);
   bool permit_request_due(const LimitedBackend& limited, TimePoint now) const;
-  void apply_terms(LimitedBackend& limited, const fleet::GrantedPermits& terms, TimePoint now);
+  void apply_grant(LimitedBackend& limited, const fleet::GrantedPermits& grant, TimePoint now);
 
   std::map<std::string, LimitedBackend> limited_backends_;  ///< by backend ID
   std::map<std::string, double> unreported_;  ///< changes not yet sent to the control plane, by backend
--- a/src/admission/permit_issuer.cc
+++ b/src/admission/permit_issuer.cc
@@ -9,7 +9,8 @@
   grants_from_ = now + kPermitTakeoverDelay;
 }
 
-PermitGrant PermitIssuer::ask(const std::string& backend, double per_second, uint32_t count, TimePoint now) {
+PermitGrant PermitIssuer::issue(const std::string& backend, double per_second, uint32_t count,
+                                TimePoint now) {
   if (count == 0 || per_second <= 0) {
     return {};
   }
--- a/src/admission/permit_issuer.h
+++ b/src/admission/permit_issuer.h
@@ -49,7 +49,7 @@
   /// have.
   void start_leading(TimePoint now);
   /// Grants up to `count` permits for a backend with a limit of `per_second` requests per second.
-  PermitGrant ask(const std::string& backend, double per_second, uint32_t count, TimePoint now);
+  PermitGrant issue(const std::string& backend, double per_second, uint32_t count, TimePoint now);
   /// Drops backends whose next permit could start immediately.
   void expire(TimePoint now);
   size_t size() const { return backends_.size(); }
--- a/src/admission/request_queue.cc
+++ b/src/admission/request_queue.cc
@@ -23,7 +23,7 @@
   return number;
 }
 
-void RequestQueue::leave(uint64_t number) {
+void RequestQueue::cancel(uint64_t number) {
   if (callbacks_.erase(number) > 0) {
     queue_.remove(number);
   }
--- a/src/admission/request_queue.h
+++ b/src/admission/request_queue.h
@@ -28,12 +28,12 @@
 };
 
 /// The waiting requests of one service at one router. Every queued request leaves the queue either by being
-/// sent or through leave().
+/// sent or through cancel().
 class RequestQueue {
  public:
-  /// Adds a request and returns its number for leave().
+  /// Adds a request and returns its number for cancel().
   uint64_t push(const QueuedRequest& request, QueueCallbacks callbacks);
-  void leave(uint64_t number);
+  void cancel(uint64_t number);
   /// Sends requests in order, as long as there is room.
   void send_ready();
   /// Returns true if no waiting request has the same or a higher urgency.
--- a/src/common/log_line.cc
+++ b/src/common/log_line.cc
@@ -143,7 +143,7 @@
 
 std::string to_text(const LogLine& line) {
   std::string text = format_time(line.time) + " " + kLevelNames.at(static_cast<size_t>(line.level)) + " [" +
-                     line.part + "] " + line.log_message;
+                     line.component_name + "] " + line.log_message;
   for (const LogField& field : line.fields) {
     text += " " + field.key + "=" + (needs_quotes(field.value) ? quote(field.value) : field.value);
   }
@@ -171,7 +171,7 @@
   if (component.size() < 3 || component.front() != '[' || component.back() != ']') {
     return tl::make_unexpected("names no [part]");
   }
-  line.part = std::string(component.substr(1, component.size() - 2));
+  line.component_name = std::string(component.substr(1, component.size() - 2));
   while (!reader.at_end() && !reader.next_is_field()) {
     line.log_message += (line.log_message.empty() ? "" : " ") + std::string(reader.take_word());
   }
--- a/src/common/log_line.h
+++ b/src/common/log_line.h
@@ -45,8 +45,8 @@
 struct LogLine {
   LogTime time{};
   LogLevel level = LogLevel::kInfo;
-  std::string part;         ///< component that wrote the line
-  std::string log_message;  ///< message, without the fields
+  std::string component_name;  ///< component that wrote the line
+  std::string log_message;     ///< message, without the fields
   std::vector<LogField> fields;
 
   /// The value of the first field with this key, or an empty string.
--- a/src/common/log_writer.cc
+++ b/src/common/log_writer.cc
@@ -54,7 +54,7 @@
   LogLine line;
   line.time = log_now();
   line.level = LogLevel::kWarning;
-  line.part = "log";
+  line.component_name = "log";
   line.log_message = "lines were lost, the reader was too slow";
   line.fields = {{"lines", dropped_ - reported_dropped_}};
   pending_ += to_text(line) + "\n";
--- a/src/control/cache_index.h
+++ b/src/control/cache_index.h
@@ -76,7 +76,7 @@
   std::vector<std::string> followed_by(const std::string& follower) const;
   std::vector<uint64_t> shared_parts() const { return {shared_parts_.begin(), shared_parts_.end()}; }
 
-  const fleet::RevisionTable<std::string, CacheStatus>& heads() const { return statuses_; }
+  const fleet::RevisionTable<std::string, CacheStatus>& statuses() const { return statuses_; }
   const fleet::RevisionTable<HeldPartKey, fleet::CachedPart>& shared_holdings() const {
     return shared_holdings_;
   }
--- a/src/control/crash_aggregator.h
+++ b/src/control/crash_aggregator.h
@@ -59,12 +59,12 @@
     if (!crash_history_.merge(record, now)) {
       return false;
     }
-    std::vector<fleet::CrashReport> notices = crash_history_.record(record.request, now).crashes;
-    if (notices.size() >= admission::kSuspectCrashes) {
-      for (fleet::CrashReport& notice : notices) {
-        notice.age_ms = 0;  // a change of the age alone must not create a new revision
+    std::vector<fleet::CrashReport> reports = crash_history_.record(record.request, now).crashes;
+    if (reports.size() >= admission::kSuspectCrashes) {
+      for (fleet::CrashReport& report : reports) {
+        report.age_ms = 0;  // a change of the age alone must not create a new revision
       }
-      suspects_.set(record.request, notices);
+      suspects_.set(record.request, reports);
     }
     return true;
   }
--- a/src/control/durable_driver.cc
+++ b/src/control/durable_driver.cc
@@ -42,10 +42,10 @@
 }
 
 void DurableDriver::process_output() {
-  if (write_failed_ || in_drive_) {
+  if (write_failed_ || in_process_output_) {
     return;
   }
-  in_drive_ = true;
+  in_process_output_ = true;
   for (;;) {
     auto output = std::make_shared<consensus::Output>(core_.take_output());
     for (const consensus::Message& message : output->send_now) {
@@ -68,7 +68,7 @@
     wake_disk_thread_.notify_one();
   }
   start_snapshot();
-  in_drive_ = false;
+  in_process_output_ = false;
   after_apply_();
 }
 
--- a/src/control/durable_driver.h
+++ b/src/control/durable_driver.h
@@ -56,7 +56,7 @@
   FailureHandler on_failure_;
   bool write_failed_ = false;
   bool snapshot_in_progress_ = false;
-  bool in_drive_ = false;
+  bool in_process_output_ = false;
   size_t open_jobs_ = 0;
   uint64_t syncs_ = 0;
   uint64_t log_bytes_ = 0;
--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -82,7 +82,7 @@
   });
 }
 
-void FleetAdminApi::name_weights(const http::ExchangePtr& exchange) {
+void FleetAdminApi::set_target_weights(const http::ExchangePtr& exchange) {
   const auto named = read_named_weights(exchange->body());
   if (!named) {
     exchange->reply(kBadRequest, kText, "model and version are needed\n");
@@ -194,7 +194,8 @@
                [this](const http::ExchangePtr& exchange) { put_configuration(exchange); });
   server.route("GET", paths.configuration,
                [this](const http::ExchangePtr& exchange) { get_configuration(exchange); });
-  server.route("POST", paths.weights, [this](const http::ExchangePtr& exchange) { name_weights(exchange); });
+  server.route("POST", paths.weights,
+               [this](const http::ExchangePtr& exchange) { set_target_weights(exchange); });
   server.route("POST", paths.rollouts,
                [this](const http::ExchangePtr& exchange) { order_rollout(exchange); });
   server.route("GET", paths.rollouts + "/*",
--- a/src/control/fleet_admin_api.h
+++ b/src/control/fleet_admin_api.h
@@ -26,7 +26,7 @@
  private:
   void put_configuration(const http::ExchangePtr& exchange);
   void get_configuration(const http::ExchangePtr& exchange);
-  void name_weights(const http::ExchangePtr& exchange);
+  void set_target_weights(const http::ExchangePtr& exchange);
   void order_rollout(const http::ExchangePtr& exchange);
   void get_rollout(const http::ExchangePtr& exchange);
   void retire(const http::ExchangePtr& exchange, const std::string& id, fleet::BackendState state);
--- a/src/control/fleet_bodies.cc
+++ b/src/control/fleet_bodies.cc
@@ -399,7 +399,7 @@
                      {"version", order.version},
                      {names.mode, names.mode_continue},
                      {names.holder, order.holder},
-                     {names.fence, order.fencing_token},
+                     {names.fencing_token_field, order.fencing_token},
                      {names.expected_sequence, order.expected_sequence}};
   return body.dump();
 }
--- a/src/control/fleet_calls.cc
+++ b/src/control/fleet_calls.cc
@@ -36,8 +36,8 @@
   propose(std::move(call.command), answer);
 }
 
-void FleetServer::on_confirmed_read(const ChannelPtr& channel, const fleet::ConfirmedRead& question) {
-  const uint64_t call_id = question.call_id;
+void FleetServer::on_confirmed_read(const ChannelPtr& channel, const fleet::ConfirmedRead& confirmed_read) {
+  const uint64_t call_id = confirmed_read.call_id;
   const auto answer = [channel, call_id](const CallOutcome& outcome) {
     channel->send(fleet::ConfirmedReadResponse{call_id, outcome.done, outcome.source, outcome.rollout});
   };
@@ -45,7 +45,7 @@
     answer({});
     return;
   }
-  read(question.rollout_of, answer);
+  read(confirmed_read.rollout_of, answer);
 }
 
 uint64_t FleetServer::add_pending_call(PendingCall pending) {
--- a/src/control/fleet_feed.cc
+++ b/src/control/fleet_feed.cc
@@ -20,7 +20,8 @@
 
 bool FleetSoftState::can_resume(const FeedCursor& cursor) const {
   return cursor.is_started && registry_.table().can_update_from(cursor.registry) &&
-         loads_.totals().can_update_from(cursor.loads) && caches_.heads().can_update_from(cursor.heads) &&
+         loads_.totals().can_update_from(cursor.loads) &&
+         caches_.statuses().can_update_from(cursor.statuses) &&
          caches_.shared_holdings().can_update_from(cursor.holdings) &&
          limits_.limits().can_update_from(cursor.limits) &&
          crashes_.suspects().can_update_from(cursor.crashes);
@@ -49,16 +50,16 @@
   std::map<std::string, fleet::CacheChanges> changed;  // by holder
   const auto entry_of = [&](const std::string& holder) -> fleet::CacheChanges& {
     fleet::CacheChanges& changes = changed[holder];
-    if (const CacheStatus* head = caches_.heads().find(holder)) {
-      changes.store = head->store;
-      changes.is_subscribed = head->followed;
+    if (const CacheStatus* status = caches_.statuses().find(holder)) {
+      changes.store = status->store;
+      changes.is_subscribed = status->followed;
     }
     return changes;
   };
-  cursor.heads = caches_.heads().visit_since(cursor.heads, kHoldingsPerMessage,
-                                             [&](const std::string& holder, const CacheStatus* head) {
-                                               entry_of(holder).is_full_state = head == nullptr;
-                                             });
+  cursor.statuses = caches_.statuses().visit_since(cursor.statuses, kHoldingsPerMessage,
+                                                   [&](const std::string& holder, const CacheStatus* status) {
+                                                     entry_of(holder).is_full_state = status == nullptr;
+                                                   });
   cursor.holdings = caches_.shared_holdings().visit_since(
       cursor.holdings, kHoldingsPerMessage, [&](const HeldPartKey& held, const fleet::CachedPart* holding) {
         fleet::CachedPart removed{held.part, 0, 0};
@@ -111,7 +112,7 @@
     cursor = FeedCursor{};
     cursor.is_started = true;
     cursor.placements = dropped_placements_ + placements_.size();  // the contents of caches are sent in full
-    message.anew = true;
+    message.starts_full_state = true;
   }
   add_quotas(cursor,
              message);  // first: without them, a router at the start of a feed does not meter any tenant
--- a/src/control/fleet_interface.h
+++ b/src/control/fleet_interface.h
@@ -38,7 +38,7 @@
   std::string mode_continue =
       "continue";  ///< value of `mode`: running requests continue with the new weights
   std::string holder = "leader";
-  std::string fence = "fence";
+  std::string fencing_token_field = "fence";
   std::string expected_sequence = "expected_sequence";
 };
 
--- a/src/control/fleet_peers.cc
+++ b/src/control/fleet_peers.cc
@@ -54,7 +54,7 @@
       continue;
     }
     if (full_state.empty()) {
-      full_state = wire::make_frame(soft_state_.full_state_for_peer(term, leads, named_weights_, now));
+      full_state = wire::make_frame(soft_state_.full_state_for_peer(term, leads, target_weights_, now));
     }
     channel->send_frame(full_state);
     peer_feeds_.on_full_state_sent(address, full_state.bytes.size(), now);
@@ -76,13 +76,13 @@
   meter_peer_traffic(peer_update.sender, peer_update.zone);
   soft_state_.on_peer_update(peer_update, now);
   for (const fleet::RouterRollouts& entry : peer_update.applied) {
-    router_confirmations_.note(entry.router, entry.applied, now);
+    router_confirmations_.record_applied(entry.router, entry.applied, now);
   }
   adopt_rollout_ages(peer_update);
   for (const fleet::TargetWeightsVersion& named : peer_update.weights) {
-    const auto known = named_weights_.find(named.model);
-    if (known != named_weights_.end() && known->second.versions().count(named.version) > 0) {
-      known->second.note(named.version, now - Duration(1000 * named.age_ms));
+    const auto known = target_weights_.find(named.model);
+    if (known != target_weights_.end() && known->second.versions().count(named.version) > 0) {
+      known->second.record_version(named.version, now - Duration(1000 * named.age_ms));
     }
   }
 }
@@ -108,31 +108,31 @@
   if (now < next_confirmation_request_ || core_->replica().leads()) {
     return;
   }
-  const auto& newest = questions_.newest();
+  const auto& newest = confirmation_tracker_.newest();
   const bool fresh = newest && now - newest->at < kMaxConfirmationAge;
   next_confirmation_request_ = now + (fresh ? kConfirmationRequestInterval : kUnconfirmedRequestInterval);
   if (const ChannelPtr leader = leader_channel()) {
-    leader->send(questions_.make_request(now));
+    leader->send(confirmation_tracker_.make_request(now));
   }
 }
 
 void FleetServer::on_confirmation_request(const ChannelPtr& channel,
-                                          const fleet::ConfirmationRequest& question) {
+                                          const fleet::ConfirmationRequest& confirmation_request) {
   fleet::ConfirmationResponse answer;
-  answer.number = question.number;
+  answer.number = confirmation_request.number;
   answer.quorum_age_ms = core_->replica().leads() ? confirmed_age_ms() : -1;
   answer.configuration_version = configuration_version();
   channel->send(answer);
 }
 
 void FleetServer::on_confirmation_answer(const fleet::ConfirmationResponse& answer) {
-  questions_.on_answer(answer);
+  confirmation_tracker_.on_answer(answer);
   track_confirmation();
 }
 
 std::optional<LeaderConfirmation> FleetServer::confirmation() const {
   if (!core_->replica().leads()) {
-    return questions_.newest();
+    return confirmation_tracker_.newest();
   }
   const int64_t age_ms = confirmed_age_ms();
   if (age_ms < 0) {
--- a/src/control/fleet_permits.cc
+++ b/src/control/fleet_permits.cc
@@ -17,16 +17,16 @@
          loop_.now() - replica.quorum_confirmed_at() <= admission::kPermitLease;
 }
 
-void FleetServer::on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& question) {
+void FleetServer::on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& permit_request) {
   fleet::PermitResponse answer;
-  answer.number = question.number;
+  answer.number = permit_request.number;
   const TimePoint now = loop_.now();
   if (may_grant_permits()) {
-    for (const fleet::PermitRequestItem& wish : question.wishes) {
+    for (const fleet::PermitRequestItem& item : permit_request.items) {
       // After a change of leader, the router may know the limit before this member does.
-      const double per_second = soft_state_.limits().per_second(wish.backend, wish.per_second);
-      const admission::PermitGrant grant = permit_issuer_.ask(wish.backend, per_second, wish.count, now);
-      answer.terms.push_back({wish.backend, grant.count, to_milliseconds_up(grant.wait)});
+      const double per_second = soft_state_.limits().per_second(item.backend, item.per_second);
+      const admission::PermitGrant grant = permit_issuer_.issue(item.backend, per_second, item.count, now);
+      answer.grants.push_back({item.backend, grant.count, to_milliseconds_up(grant.wait)});
       metrics_.count(grant.count > 0 ? "stoat_control_permits_total" : "stoat_control_permits_denied_total",
                      {}, std::max<uint32_t>(1, grant.count));
     }
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -129,8 +129,8 @@
                                     update.retired.push_back({id, *state});
                                   }
                                 });
-  if (link.sent.weights != named_weights_revision_) {
-    for (const auto& [model, history] : named_weights_) {
+  if (link.sent.weights != target_weights_revision_) {
+    for (const auto& [model, history] : target_weights_) {
       const auto& versions = history.versions();
       const size_t skip = versions.size() > kMaxNamedVersions ? versions.size() - kMaxNamedVersions : 0;
       for (auto entry = std::next(versions.begin(), static_cast<std::ptrdiff_t>(skip));
@@ -176,14 +176,14 @@
     link.sent_configuration_version = configuration_version();
     link.configuration_sent_at = loop_.now();
   }
-  link.sent = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
+  link.sent = {retired_backends_.revision(), target_weights_revision_, members_revision_, rollouts_revision_};
   link.channel->send(update);
 }
 
 void FleetServer::push_to_routers() {
   // Routers that have received the same revisions get the same frame.
   std::map<std::pair<SentRevisions, bool>, wire::Frame> frames;
-  const SentRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
+  const SentRevisions newest{retired_backends_.revision(), target_weights_revision_, members_revision_,
                              rollouts_revision_};
   for (auto& [name, link] : router_links_) {
     if (!link.channel->open()) {
@@ -313,9 +313,9 @@
 
 void FleetServer::record_named_weights() {
   for (const auto& [model, version] : core_->state().fleet().weights()) {
-    if (named_weights_[model].newest() < version) {
-      named_weights_[model].note(version, loop_.now());
-      ++named_weights_revision_;
+    if (target_weights_[model].newest() < version) {
+      target_weights_[model].record_version(version, loop_.now());
+      ++target_weights_revision_;
       log_.event(events::TargetWeightsChanged{model, version, 0});
     }
   }
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -212,8 +212,8 @@
     soft_state_.on_placements(placements->placements);
   } else if (auto* peer_update = std::get_if<fleet::PeerUpdate>(&message.value)) {
     on_peer_update(*peer_update);
-  } else if (auto* question = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
-    on_confirmation_request(channel, *question);
+  } else if (auto* confirmation_request = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
+    on_confirmation_request(channel, *confirmation_request);
   } else if (auto* confirmed = std::get_if<fleet::ConfirmationResponse>(&message.value)) {
     on_confirmation_answer(*confirmed);
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
--- a/src/control/fleet_server.h
+++ b/src/control/fleet_server.h
@@ -195,7 +195,7 @@
   std::optional<LeaderConfirmation> confirmation() const;
 
   // fleet_permits.cc: permits under the rate limits of backends, which apply to all routers together
-  void on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& question);
+  void on_permit_request(const ChannelPtr& channel, const fleet::PermitRequest& permit_request);
   bool may_grant_permits() const;
   void maintain_permits();
 
@@ -208,7 +208,8 @@
   void meter_peer_traffic(const std::string& address, const std::string& zone);
   void log_traffic();
   void on_peer_update(const fleet::PeerUpdate& peer_update);
-  void on_confirmation_request(const ChannelPtr& channel, const fleet::ConfirmationRequest& question);
+  void on_confirmation_request(const ChannelPtr& channel,
+                               const fleet::ConfirmationRequest& confirmation_request);
   void on_confirmation_answer(const fleet::ConfirmationResponse& answer);
   void request_confirmation();
   void track_confirmation();
@@ -274,12 +275,12 @@
   std::string logged_members_;
   uint64_t handled_state_revision_ = 0;
   fleet::RevisionTable<std::string, fleet::BackendState> retired_backends_;  ///< from the replicated log
-  fleet::TargetWeights named_weights_;
-  uint64_t named_weights_revision_ = 0;    ///< incremented when `named_weights_` changes
+  fleet::TargetWeights target_weights_;
+  uint64_t target_weights_revision_ = 0;   ///< incremented when `target_weights_` changes
   uint64_t members_revision_ = 0;          ///< incremented when the member list changes
   TimePoint configuration_applied_at_{0};  ///< of the newest configuration
 
-  LeaderConfirmationTracker questions_;
+  LeaderConfirmationTracker confirmation_tracker_;
   TimePoint next_confirmation_request_{0};
   TimePoint next_peer_update_{0};  ///< latest time for an update, even without changes
   CacheEventPoller cache_event_poller_;
--- a/src/control/fleet_service_rollout.cc
+++ b/src/control/fleet_service_rollout.cc
@@ -129,7 +129,7 @@
 
 void FleetServer::record_applied_rollouts(const std::string& router,
                                           const std::vector<fleet::AppliedRollout>& applied) {
-  router_confirmations_.note(router, applied, loop_.now());
+  router_confirmations_.record_applied(router, applied, loop_.now());
 }
 
 void FleetServer::adopt_rollout_ages(const fleet::PeerUpdate& peer_update) {
--- a/src/control/fleet_soft_state.cc
+++ b/src/control/fleet_soft_state.cc
@@ -31,7 +31,7 @@
     return false;
   }
   if (registry_.table().revision() == before) {
-    pending_update_.marks.push_back({fleet::backend_id_hash(record.id), record.sequence});
+    pending_update_.compact_heartbeats.push_back({fleet::backend_id_hash(record.id), record.sequence});
   } else {
     pending_update_.heartbeats.push_back(record);
   }
@@ -39,17 +39,17 @@
 }
 
 void FleetSoftState::apply_compact_heartbeats(const fleet::PeerUpdate& peer_update, TimePoint now) {
-  for (const fleet::CompactHeartbeat& mark : peer_update.marks) {
+  for (const fleet::CompactHeartbeat& mark : peer_update.compact_heartbeats) {
     if (registry_.on_compact_heartbeat(mark.backend, mark.sequence, now) ==
         fleet::CompactHeartbeatResult::kUnknown) {
       missing_record_keys_[peer_update.sender].insert(mark.backend);
     }
   }
-  for (const fleet::BackendRecordRequest& question : peer_update.questions) {
-    if (question.member != options_.address) {
+  for (const fleet::BackendRecordRequest& request : peer_update.record_requests) {
+    if (request.member != options_.address) {
       continue;
     }
-    for (const uint64_t key : question.backends) {
+    for (const uint64_t key : request.backends) {
       if (const fleet::BackendRecord* record = registry_.find_by_key(key)) {
         pending_update_.heartbeats.push_back(*record);
       }
@@ -108,7 +108,7 @@
   if (total == 0) {
     return 0;
   }
-  const double unheard = static_cast<double>(routers_.count_unheard(following_routers_, now)) +
+  const double unheard = static_cast<double>(routers_.count_without_recent_status(following_routers_, now)) +
                          admission::kDisconnectedRateFraction * static_cast<double>(silent_routers_.size());
   return unheard / static_cast<double>(total);
 }
@@ -192,15 +192,15 @@
   }
 }
 
-void FleetSoftState::apply_engine_notes(const fleet::PeerUpdate& peer_update) {
-  if (!peer_update.leads || peer_update.term < engine_notes_term_) {
+void FleetSoftState::apply_engine_load_states(const fleet::PeerUpdate& peer_update) {
+  if (!peer_update.leads || peer_update.term < engine_load_states_term_) {
     return;
   }
-  engine_notes_term_ = peer_update.term;
-  for (const fleet::EngineLoadState& note : peer_update.engines) {
-    registry_.set_loading(note.id, note.loading);
-    for (const fleet::ModelVersion& entry : note.models) {
-      registry_.set_version(note.id, entry.model, entry.version);
+  engine_load_states_term_ = peer_update.term;
+  for (const fleet::EngineLoadState& load_state : peer_update.engines) {
+    registry_.set_loading(load_state.id, load_state.loading);
+    for (const fleet::ModelVersion& entry : load_state.models) {
+      registry_.set_version(load_state.id, entry.model, entry.version);
     }
   }
 }
@@ -208,8 +208,8 @@
 void FleetSoftState::on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now) {
   Peer& peer = peers_[peer_update.sender];
   peer.zone = peer_update.zone;
-  peer.heard = now;
-  routers_.on_member_heard(peer_update.sender, now);
+  peer.last_update = now;
+  routers_.on_member_update(peer_update.sender, now);
   // The first update of a member that has just started contains its full state.
   const bool is_first = !peer_update.is_full_state && peer_update.number == 1 && peer.last_number == 0;
   if (peer_update.is_full_state) {
@@ -247,7 +247,7 @@
     announce_shared_parts(caches_.mark_shared(placement.links));
     add_placement(placement);
   }
-  apply_engine_notes(peer_update);
+  apply_engine_load_states(peer_update);
   using admission::SumsScope;
   const SumsScope scope = peer_update.is_full_state ? SumsScope::kAll
                           : is_first                ? SumsScope::kFirst
@@ -269,7 +269,7 @@
                 [now](const auto& entry) { return now - entry.second > kIsolatedServeTime; });
   quotas_.update(unheard_share(now), now);
   for (auto entry = peers_.begin(); entry != peers_.end();) {
-    if (now - entry->second.heard <= kPeerTimeout) {
+    if (now - entry->second.last_update <= kPeerTimeout) {
       ++entry;
       continue;
     }
@@ -310,7 +310,7 @@
     }
   }
   for (const auto& [address, keys] : std::exchange(missing_record_keys_, {})) {
-    peer_update.questions.push_back({address, {keys.begin(), keys.end()}});
+    peer_update.record_requests.push_back({address, {keys.begin(), keys.end()}});
   }
   for (const std::string& id : std::exchange(pending_engine_ids_, {})) {
     if (const fleet::BackendRecord* record = registry_.find(id); record != nullptr && leads) {
@@ -368,7 +368,7 @@
 std::vector<LiveMember> FleetSoftState::live_members(TimePoint now) const {
   std::vector<LiveMember> members{{options_.address, options_.zone}};
   for (const auto& [address, peer] : peers_) {
-    if (now - peer.heard <= kPeerTimeout) {
+    if (now - peer.last_update <= kPeerTimeout) {
       members.push_back({address, peer.zone});
     }
   }
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -47,7 +47,7 @@
   bool is_started = false;  ///< the first message of the feed was sent
   uint64_t registry = 0;
   uint64_t loads = 0;
-  uint64_t heads = 0;
+  uint64_t statuses = 0;
   uint64_t holdings = 0;
   uint64_t placements = 0;
   uint64_t quotas = 0;
@@ -59,7 +59,7 @@
  private:
   std::tuple<bool, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t> values()
       const {
-    return {is_started, registry, loads, heads, holdings, placements, quotas, limits, crashes};
+    return {is_started, registry, loads, statuses, holdings, placements, quotas, limits, crashes};
   }
 };
 
@@ -155,7 +155,7 @@
   /// State of another member.
   struct Peer {
     std::string zone;
-    TimePoint heard{0};        ///< when its last update arrived
+    TimePoint last_update{0};  ///< when its last update arrived
     uint64_t last_number = 0;  ///< of its last update
     bool complete = false;     ///< its full state arrived, and every update since
   };
@@ -169,7 +169,7 @@
   /// parts have only now become shared, so they were not sent before.
   void announce_shared_parts(const std::vector<uint64_t>& parts);
   void add_placement(const fleet::ChainPlacement& placement);
-  void apply_engine_notes(const fleet::PeerUpdate& peer_update);
+  void apply_engine_load_states(const fleet::PeerUpdate& peer_update);
   FollowedCache claim_cache(const std::string& holder, const std::string& address, bool store);
   bool add_backends(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
   void add_loads(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
@@ -212,7 +212,7 @@
   uint64_t last_update_number_ = 0;
   fleet::PeerUpdate pending_update_;          ///< parts of the next update to the other members
   std::set<std::string> pending_engine_ids_;  ///< engines whose EngineLoadState is due in the next update
-  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose EngineLoadStates were last applied
+  uint64_t engine_load_states_term_ = 0;      ///< term of the leader whose EngineLoadStates were last applied
 };
 
 }  // namespace stoat::control
--- a/src/control/fleet_weight_rollout.cc
+++ b/src/control/fleet_weight_rollout.cc
@@ -26,11 +26,11 @@
   if (!core_->replica().leads() || weight_rollout_.fenced_off() || !may_send_orders()) {
     return;
   }
-  if (named_weights_.empty()) {
+  if (target_weights_.empty()) {
     return;
   }
   for (const RolloutStep& step :
-       weight_rollout_.plan(soft_state_.registry().records(), named_weights_, loop_.now())) {
+       weight_rollout_.plan(soft_state_.registry().records(), target_weights_, loop_.now())) {
     execute_step(step);
   }
 }
--- a/src/control/router_directory.cc
+++ b/src/control/router_directory.cc
@@ -48,7 +48,7 @@
     KnownRouter& known = routers_[notice.router.name];
     known.router = notice.router;
     known.member = member;
-    members_last_heard_[member] = now;
+    member_update_times_[member] = now;
     note_assignable(notice.router, now);
   } else if (found != routers_.end() && found->second.member == member) {
     routers_.erase(found);
@@ -61,8 +61,8 @@
   if (known.last_status > TimePoint(0) && now - known.last_status < kStatusLease) {
     return true;
   }
-  const auto member = members_last_heard_.find(known.member);
-  return member != members_last_heard_.end() && now - member->second < kMemberLease;
+  const auto member = member_update_times_.find(known.member);
+  return member != member_update_times_.end() && now - member->second < kMemberLease;
 }
 
 void RouterDirectory::note_assignable(const fleet::RouterRecord& router, TimePoint now) {
@@ -86,20 +86,20 @@
     return now - entry.second.ready_at > kAssignmentRetention;
   });
   std::erase_if(routers_, [&](const auto& entry) {
-    const auto member = members_last_heard_.find(entry.second.member);
-    const TimePoint last_report = member == members_last_heard_.end() ? TimePoint(0) : member->second;
+    const auto member = member_update_times_.find(entry.second.member);
+    const TimePoint last_report = member == member_update_times_.end() ? TimePoint(0) : member->second;
     return now - std::max(entry.second.last_status, last_report) > kSilentRouterRetention;
   });
 }
 
-size_t RouterDirectory::count_unheard(const std::map<std::string, fleet::RouterRecord>& own,
-                                      TimePoint now) const {
-  const auto unheard = [&](const auto& entry) {
-    const auto member = members_last_heard_.find(entry.second.member);
-    return member != members_last_heard_.end() && now - member->second >= kMemberOverdue &&
+size_t RouterDirectory::count_without_recent_status(const std::map<std::string, fleet::RouterRecord>& own,
+                                                    TimePoint now) const {
+  const auto lacks_recent_status = [&](const auto& entry) {
+    const auto member = member_update_times_.find(entry.second.member);
+    return member != member_update_times_.end() && now - member->second >= kMemberOverdue &&
            own.count(entry.first) == 0;
   };
-  return static_cast<size_t>(std::count_if(routers_.begin(), routers_.end(), unheard));
+  return static_cast<size_t>(std::count_if(routers_.begin(), routers_.end(), lacks_recent_status));
 }
 
 std::vector<fleet::RouterRecord> RouterDirectory::ready(TimePoint now) const {
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -25,13 +25,14 @@
   /// Removes a router that is no longer connected to this member.
   void forget(const std::string& router);
   /// Records that another member is reachable, and with it the routers that it reported.
-  void on_member_heard(const std::string& member, TimePoint now) { members_last_heard_[member] = now; }
+  void on_member_update(const std::string& member, TimePoint now) { member_update_times_[member] = now; }
   /// Removes routers that have been silent for long. To be called a few times a second.
   void expire(TimePoint now);
 
   /// Number of routers whose member is unreachable, so that what they report does not arrive at this member.
   /// `own`: the routers that follow this member; they are not counted.
-  size_t count_unheard(const std::map<std::string, fleet::RouterRecord>& own, TimePoint now) const;
+  size_t count_without_recent_status(const std::map<std::string, fleet::RouterRecord>& own,
+                                     TimePoint now) const;
   size_t size() const { return routers_.size(); }
   /// The routers that are ready and not silent, by name.
   std::vector<fleet::RouterRecord> ready(TimePoint now) const;
@@ -71,7 +72,7 @@
   static void truncate(std::vector<fleet::RouterRecord>& list, const std::string& zone, size_t limit);
 
   std::map<std::string, KnownRouter> routers_;  ///< by name
-  std::map<std::string, TimePoint> members_last_heard_;
+  std::map<std::string, TimePoint> member_update_times_;
   std::map<std::string, AssignableRouter> assignable_routers_;  ///< by router
   uint64_t assignable_revision_ = 1;  ///< changes when an assignable router is added, removed or moved
   struct Assignment {
--- a/src/delivery/retry_budget.h
+++ b/src/delivery/retry_budget.h
@@ -59,18 +59,18 @@
   bool take(TimePoint now, uint32_t routers) {
     Bucket& present = bucket(now);
     uint64_t requests = 0;
-    uint64_t repeats = 0;
+    uint64_t retries = 0;
     for (const Bucket& entry : buckets_) {
       requests += entry.requests;
-      repeats += entry.repeats;
+      retries += entry.retries;
     }
     const double bound =
         options_.safety_factor * (options_.ratio * static_cast<double>(requests) +
                                   options_.slack / static_cast<double>(routers == 0 ? 1 : routers));
-    if (static_cast<double>(repeats + 1) > bound) {
+    if (static_cast<double>(retries + 1) > bound) {
       return false;
     }
-    ++present.repeats;
+    ++present.retries;
     return true;
   }
 
@@ -79,7 +79,7 @@
   struct Bucket {
     int64_t slot = -1;
     uint64_t requests = 0;
-    uint64_t repeats = 0;
+    uint64_t retries = 0;
   };
   Bucket& bucket(TimePoint now) {
     const int64_t width = options_.window.count() / static_cast<int64_t>(kBuckets);
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -33,7 +33,7 @@
   const std::string owner = plan.cache_owner();
   uint32_t total = 0;
   for (const PromptPart& part : plan.fields.parts) {
-    chain.links.push_back({placement::part_hash(owner, plan.fields.model, part.id), part.tokens});
+    chain.prompt_parts.push_back({placement::part_hash(owner, plan.fields.model, part.id), part.tokens});
     total += part.tokens;
   }
   chain.prompt_tokens = std::max(total, plan.fields.prompt_tokens);
@@ -176,8 +176,8 @@
   if (backend_ == nullptr) {
     return;
   }
-  if (!first_event_received_ && !chain_.links.empty()) {
-    backend_->memory.drop_pending(chain_);
+  if (!first_event_received_ && !chain_.prompt_parts.empty()) {
+    backend_->cache_estimate.drop_pending(chain_);
   }
   release_pending_prefill();
   context_.pool.end_request(backend_);
@@ -266,7 +266,7 @@
   }
   release_pending_prefill();
   record_rollout_first_event();
-  if (!first_event_received_ && !chain_.links.empty()) {
+  if (!first_event_received_ && !chain_.prompt_parts.empty()) {
     first_event_received_ = true;
     observe_first_event_latency();
     note_prompt_cached();
--- a/src/dispatch/backend_pool.cc
+++ b/src/dispatch/backend_pool.cc
@@ -142,7 +142,7 @@
 
 void BackendPool::forget_holdings() {
   for (const auto& [id, backend] : backends_) {
-    backend->memory.forget_holdings();
+    backend->cache_estimate.forget_holdings();
   }
 }
 
--- a/src/dispatch/backend_pool.h
+++ b/src/dispatch/backend_pool.h
@@ -48,7 +48,7 @@
   fleet::BackendLoad published;     ///< own part of it, as last published
   uint32_t others_outstanding = 0;  ///< requests of other routers: all_routers less published
   uint64_t others_prefill_tokens = 0;
-  placement::KvCacheEstimate memory;
+  placement::KvCacheEstimate cache_estimate;
   placement::EngineSpeed speed;
   BackendBackoff backoff;
   TimePoint last_received_at{0};                      ///< when this router last received data from it
--- a/src/dispatch/request_admission.cc
+++ b/src/dispatch/request_admission.cc
@@ -128,7 +128,7 @@
   if (queue_number_ == 0) {
     return;
   }
-  context_.queues[plan_.service].leave(queue_number_);
+  context_.queues[plan_.service].cancel(queue_number_);
   queue_number_ = 0;
   context_.metrics.observe("stoat_router_slot_wait_seconds", to_seconds(context_.loop.now() - queued_at_),
                            {{"route", plan_.route->name}});
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -31,7 +31,7 @@
 }
 
 uint64_t ActiveRequest::subset_key() const {
-  return chain_.links.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
+  return chain_.prompt_parts.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
 }
 
 std::vector<BackendPtr> ActiveRequest::cache_sources_in_subset(size_t candidates) const {
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -34,24 +34,24 @@
 std::optional<TimePoint> ActiveRequest::earliest_permit_time(const std::vector<std::string>& limited) const {
   std::optional<TimePoint> first;
   for (size_t position = 0; position < std::min(kMaxPermitRequests, limited.size()); ++position) {
-    const auto chance = context_.limits.earliest_send_time(limited[position], context_.loop.now());
-    if (!chance) {
+    const auto earliest_time = context_.limits.earliest_send_time(limited[position], context_.loop.now());
+    if (!earliest_time) {
       return std::nullopt;
     }
-    first = std::min(first.value_or(*chance), *chance);
+    first = std::min(first.value_or(*earliest_time), *earliest_time);
   }
   return first;
 }
 
 void ActiveRequest::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
   const TimePoint now = context_.loop.now();
-  const std::optional<TimePoint> chance = earliest_permit_time(limited);
-  if (now < wait_deadline_ && chance.value_or(now) <= wait_deadline_) {
+  const std::optional<TimePoint> earliest_time = earliest_permit_time(limited);
+  if (now < wait_deadline_ && earliest_time.value_or(now) <= wait_deadline_) {
     schedule_poll();
     return;
   }
   context_.metrics.count("stoat_router_limit_refusals_total", {{"route", plan_.route->name}});
-  reply_with_error(kUnavailable, reason, to_seconds(compute_retry_after(chance.value_or(now) - now)));
+  reply_with_error(kUnavailable, reason, to_seconds(compute_retry_after(earliest_time.value_or(now) - now)));
 }
 
 void ActiveRequest::spend_permit(const Backend& backend) {
--- a/src/dispatch/request_send.cc
+++ b/src/dispatch/request_send.cc
@@ -26,7 +26,7 @@
 placement::EngineView ActiveRequest::view_of(const Backend& backend, double mean_others_outstanding) const {
   placement::EngineView view;
   view.name_hash = backend.name_hash;
-  view.memory = &backend.memory;
+  view.cache_estimate = &backend.cache_estimate;
   view.weights = backend.record.version_of(plan_.fields.model);
   view.outstanding = backend.outstanding + backend.others_outstanding;
   view.slots = backend.record.slots;
@@ -51,7 +51,7 @@
   for (const BackendPtr& backend : candidates) {
     views.push_back(view_of(*backend, others));
   }
-  if (chain_.links.empty()) {
+  if (chain_.prompt_parts.empty()) {
     send_to(choose_without_prompt(candidates, views),
             CachePlan{.candidates = static_cast<uint32_t>(candidates.size())}, others);
     return;
@@ -69,7 +69,7 @@
   placement::StoreView store_view;
   placement::PlacementCosts costs = context_.costs;
   if (store != nullptr) {
-    store_view = {&store->memory, place_of_store(store->address)};
+    store_view = {&store->cache_estimate, place_of_store(store->address)};
   }
   if (const fleet::Service* service = plan_.table->service(plan_.service)) {
     const fleet::Service* stored = store == nullptr ? nullptr : plan_.table->store_at(store->address);
@@ -112,12 +112,12 @@
   const uint64_t weights = target.record.version_of(plan_.fields.model);
   const uint32_t shared = placement::shared_tokens(chain_);
   const std::string store_address = store == nullptr ? "" : store->address;
-  const bool stored = store != nullptr && store->memory.held_tokens(chain_, weights, now) >= shared;
+  const bool stored = store != nullptr && store->cache_estimate.held_tokens(chain_, weights, now) >= shared;
   // The store is the source even if it is not known to hold the prompt: an engine loads only what it lacks,
   // and a miss costs a millisecond. If loading from the store takes longer than prefilling, nothing is
   // written to it either.
   const bool store_useful = worth_taking_from_store && shared >= kMinStoredTokens;
-  const bool surely_held = holder != nullptr && holder->memory.certainly_holds(chain_, weights, now);
+  const bool surely_held = holder != nullptr && holder->cache_estimate.certainly_holds(chain_, weights, now);
   if (store_useful && (holder == nullptr || (stored && !surely_held))) {
     plan.source = store_address;
     plan.source_place = place_of_store(store_address);
@@ -152,7 +152,7 @@
   if (last_event_id_) {
     add(names.last_event_id, std::to_string(*last_event_id_));
   }
-  if (!chain_.links.empty()) {
+  if (!chain_.prompt_parts.empty()) {
     const uint64_t version = backend.record.version_of(plan_.fields.model);
     add(names.cache_salt, placement::to_salt({plan_.cache_owner(), version}));
     add(names.urgency, std::to_string(urgency()));
@@ -296,7 +296,7 @@
     cache.backup = backup_ == nullptr ? "" : backup_->record.address;
   }
   moved_tokens_ = 0;
-  if (!chain_.links.empty()) {
+  if (!chain_.prompt_parts.empty()) {
     add_pending_prefill(cache);
   }
   sent_at_ = now;
@@ -323,17 +323,17 @@
 
 void ActiveRequest::add_pending_prefill(const CachePlan& cache) {
   const TimePoint now = context_.loop.now();
-  const uint32_t own = backend_->memory.cached_tokens(chain_, run_weights_, now);
+  const uint32_t own = backend_->cache_estimate.cached_tokens(chain_, run_weights_, now);
   uint32_t present = own;
   if (const CacheStore* store = context_.stores.find(cache.source)) {
-    present = std::max(present, store->memory.held_tokens(chain_, run_weights_, now));
+    present = std::max(present, store->cache_estimate.held_tokens(chain_, run_weights_, now));
   } else if (!cache.source.empty()) {
     present = std::max(present, placement::shared_tokens(chain_));
   }
   moved_tokens_ = present - own;
   pending_prefill_tokens_ = chain_.prompt_tokens - std::min(chain_.prompt_tokens, present);
   backend_->prefill_tokens += pending_prefill_tokens_;
-  backend_->memory.note_pending(chain_, run_weights_, now);
+  backend_->cache_estimate.note_pending(chain_, run_weights_, now);
 }
 
 void ActiveRequest::note_prompt_cached() {
@@ -341,19 +341,19 @@
   fleet::ChainPlacement placement;
   placement.holder = backend_->record.id;
   placement.weights = run_weights_;
-  for (size_t position = 0; position + 1 < chain_.links.size(); ++position) {
-    placement.links.push_back(chain_.links[position].hash);
+  for (size_t position = 0; position + 1 < chain_.prompt_parts.size(); ++position) {
+    placement.links.push_back(chain_.prompt_parts[position].hash);
   }
   if (placement.links.empty()) {
     return;
   }
-  const bool known = backend_->memory.observed_within(chain_, run_weights_, now, kReannounceInterval);
-  backend_->memory.note_held(placement.links, run_weights_, now);
+  const bool known = backend_->cache_estimate.observed_within(chain_, run_weights_, now, kReannounceInterval);
+  backend_->cache_estimate.note_held(placement.links, run_weights_, now);
   if (!known) {
     context_.announce_placement(placement);
   }
   if (CacheStore* store = context_.stores.find(store_target_)) {
-    store->memory.note_held(placement.links, run_weights_, now);
+    store->cache_estimate.note_held(placement.links, run_weights_, now);
     placement.holder = store->address;
     context_.announce_placement(placement);
   }
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -74,17 +74,17 @@
     return;
   }
   const fleet::BackendRecord& record = backend_->record;
-  rollout::CountedRequest send;
-  send.key.rollout = rollout->id;
-  send.key.target = record.software == rollout->target_version;
-  send.key.engine = send.key.target ? record.id : "";
-  send.key.route = plan_.route->name;
-  send.key.condition = rollout::classify_condition(
+  rollout::CountedRequest request;
+  request.key.rollout = rollout->id;
+  request.key.target = record.software == rollout->target_version;
+  request.key.engine = request.key.target ? record.id : "";
+  request.key.route = plan_.route->name;
+  request.key.condition = rollout::classify_condition(
       pending_prefill_tokens_, backend_->outstanding + backend_->others_outstanding, record.slots);
-  send.objective = Duration(1000 * plan_.route->target_latency_ms);
-  context_.answers.begin(send, context_.loop.now());
-  rollout_send_ = send;
-  if (send.key.target && rollout->phase == fleet::RolloutPhase::kTrial) {
+  request.objective = Duration(1000 * plan_.route->target_latency_ms);
+  context_.answers.begin(request, context_.loop.now());
+  rollout_send_ = request;
+  if (request.key.target && rollout->phase == fleet::RolloutPhase::kTrial) {
     in_trial_sample_ = false;  // retries go to an established version
   }
 }
--- a/src/dispatch/store_set.cc
+++ b/src/dispatch/store_set.cc
@@ -6,7 +6,7 @@
 
 void StoreSet::forget_holdings() {
   for (auto& [address, store] : stores_) {
-    store.memory.forget_holdings();
+    store.cache_estimate.forget_holdings();
   }
 }
 
--- a/src/dispatch/store_set.h
+++ b/src/dispatch/store_set.h
@@ -14,7 +14,7 @@
 struct CacheStore {
   std::string address;
   uint64_t address_hash = 0;
-  placement::KvCacheEstimate memory{placement::kStoreHoldTime};
+  placement::KvCacheEstimate cache_estimate{placement::kStoreHoldTime};
 };
 
 /// The KV cache stores that respond, and the assignment of prompt chains to them.
--- a/src/fleet/backend_limit.h
+++ b/src/fleet/backend_limit.h
@@ -38,8 +38,8 @@
 /// Router to leader: requests permits.
 struct PermitRequest {
   uint64_t number = 0;  ///< echoed in the answer
-  std::vector<PermitRequestItem> wishes;
-  MSGPACK_DEFINE_ARRAY(number, wishes)
+  std::vector<PermitRequestItem> items;
+  MSGPACK_DEFINE_ARRAY(number, items)
 };
 
 /// The permits granted for one PermitRequestItem.
@@ -53,8 +53,8 @@
 /// Control member to router: the answer to a PermitRequest. Members other than the leader grant nothing.
 struct PermitResponse {
   uint64_t number = 0;
-  std::vector<GrantedPermits> terms;
-  MSGPACK_DEFINE_ARRAY(number, terms)
+  std::vector<GrantedPermits> grants;
+  MSGPACK_DEFINE_ARRAY(number, grants)
 };
 
 }  // namespace stoat::fleet
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -144,7 +144,7 @@
 /// Control member to its subscribed routers: changes of the fleet since the previous message. A feed starts
 /// with the full state, split over several messages.
 struct FleetFeedUpdate {
-  bool anew = false;      ///< the feed starts: discard what was sent before
+  bool starts_full_state = false;  ///< the feed starts: discard what was sent before
   bool complete = false;  ///< the full state was sent; a sender that has just started does not have it yet
   std::vector<BackendRecord> backends;
   std::vector<std::string> gone;   ///< ids of removed backends
@@ -154,9 +154,10 @@
   std::vector<QuotaLevel> quotas = {};    ///< changed levels; tenants that were never listed are not metered
   std::vector<BackendLimit> limits = {};  ///< changed limits
   std::vector<CrashRecord> crashes = {};  ///< changed records of requests with more than one crash
-  MSGPACK_DEFINE_ARRAY(anew, complete, backends, gone, loads, caches, placements, quotas, limits, crashes)
+  MSGPACK_DEFINE_ARRAY(starts_full_state, complete, backends, gone, loads, caches, placements, quotas, limits,
+                       crashes)
   bool empty() const {
-    return !anew && backends.empty() && gone.empty() && loads.empty() && caches.empty() &&
+    return !starts_full_state && backends.empty() && gone.empty() && loads.empty() && caches.empty() &&
            placements.empty() && quotas.empty() && limits.empty() && crashes.empty();
   }
 };
@@ -221,8 +222,8 @@
   std::vector<WindowSpending> windows =
       {};                     ///< only with the full state: usage of all routers, as far as known
   int64_t quotas_age_ms = 0;  ///< only with the full state: how long the sender has been counting
-  std::vector<CompactHeartbeat> marks = {};
-  std::vector<BackendRecordRequest> questions = {};
+  std::vector<CompactHeartbeat> compact_heartbeats = {};
+  std::vector<BackendRecordRequest> record_requests = {};
   std::vector<AnswerCount> answers = {};      ///< changed totals of the sender's routers since its start
   std::vector<RouterRollouts> applied = {};   ///< reports of the sender's routers since the previous message
   std::vector<RolloutAge> rollout_ages = {};  ///< only from the leader: rollouts that are not final
@@ -230,13 +231,13 @@
   std::vector<CrashRecord> crashes = {};      ///< the same for crashes
   MSGPACK_DEFINE_ARRAY(sender, zone, term, leads, number, is_full_state, incomplete, heartbeats, routers,
                        loads, caches, placements, shared_parts, unreachable, engines, weights, start_id,
-                       spending, windows, quotas_age_ms, marks, questions, answers, applied, rollout_ages,
-                       limits, crashes)
+                       spending, windows, quotas_age_ms, compact_heartbeats, record_requests, answers,
+                       applied, rollout_ages, limits, crashes)
   bool empty() const {
     return !is_full_state && incomplete.empty() && heartbeats.empty() && routers.empty() && loads.empty() &&
            caches.empty() && placements.empty() && shared_parts.empty() && unreachable.empty() &&
-           engines.empty() && spending.empty() && marks.empty() && questions.empty() && answers.empty() &&
-           applied.empty() && rollout_ages.empty() && limits.empty() && crashes.empty();
+           engines.empty() && spending.empty() && compact_heartbeats.empty() && record_requests.empty() &&
+           answers.empty() && applied.empty() && rollout_ages.empty() && limits.empty() && crashes.empty();
   }
 };
 
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void VersionHistory::note(uint64_t version, TimePoint since) {
+void VersionHistory::record_version(uint64_t version, TimePoint since) {
   const auto [entry, added] = since_.emplace(version, since);
   entry->second = std::min(entry->second, since);
   if (since_.size() > kMaxVersions) {
--- a/src/fleet/version_history.h
+++ b/src/fleet/version_history.h
@@ -15,7 +15,7 @@
 class VersionHistory {
  public:
   /// Records a target version. If a version is recorded several times, the earliest time is kept.
-  void note(uint64_t version, TimePoint since);
+  void record_version(uint64_t version, TimePoint since);
   /// When the next higher known version was set; nullopt when there is none.
   std::optional<TimePoint> outdated_since(uint64_t version) const;
   /// How long a version has been outdated; nullopt when there is no higher one.
--- a/src/gateway/gateway_feed.cc
+++ b/src/gateway/gateway_feed.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 void GatewayServer::on_feed_update(const fleet::FleetFeedUpdate& feed_update) {
-  if (feed_update.anew) {
+  if (feed_update.starts_full_state) {
     receiving_full_state_ = true;
     loads_reported_ = false;
     unlisted_backends_ = pool_.ids();
@@ -97,7 +97,7 @@
       return;
     }
     const fleet::PermitRequest permit_request = context_.limits.take_permit_request(loop_.now());
-    if (!permit_request.wishes.empty()) {
+    if (!permit_request.items.empty()) {
       control_link_.send_to_leader(permit_request);
     }
   });
@@ -152,23 +152,23 @@
 void GatewayServer::record_placement(const fleet::ChainPlacement& placement) {
   const TimePoint now = loop_.now();
   if (dispatch::CacheStore* store = context_.stores.find(placement.holder)) {
-    store->memory.note_held(placement.links, placement.weights, now);
+    store->cache_estimate.note_held(placement.links, placement.weights, now);
   } else if (const dispatch::BackendPtr holder = pool_.find(placement.holder)) {
-    holder->memory.note_held(placement.links, placement.weights, now);
+    holder->cache_estimate.note_held(placement.links, placement.weights, now);
   }
 }
 
 void GatewayServer::apply_cache_changes(const fleet::CacheChanges& changes) {
   if (!changes.store) {
     if (const dispatch::BackendPtr backend = pool_.find(changes.holder)) {
-      apply_part_changes(changes, backend->memory);
+      apply_part_changes(changes, backend->cache_estimate);
     }
     return;
   }
   const bool existing = context_.stores.find(changes.holder) != nullptr;
   const std::string before = existing == changes.is_subscribed ? "" : context_.stores.to_text();
   if (changes.is_subscribed) {
-    apply_part_changes(changes, context_.stores.add(changes.holder).memory);
+    apply_part_changes(changes, context_.stores.add(changes.holder).cache_estimate);
   } else {
     context_.stores.remove(changes.holder);
   }
@@ -178,16 +178,16 @@
 }
 
 void GatewayServer::apply_part_changes(const fleet::CacheChanges& changes,
-                                       placement::KvCacheEstimate& memory) const {
-  memory.follow(changes.is_subscribed ? &cache_event_validity_ : nullptr);
+                                       placement::KvCacheEstimate& cache_estimate) const {
+  cache_estimate.follow(changes.is_subscribed ? &cache_event_validity_ : nullptr);
   if (changes.is_full_state) {
-    memory.forget_holdings();
+    cache_estimate.forget_holdings();
   }
   for (const fleet::CachedPart& holding : changes.holdings) {
     if (holding.tokens == 0) {
-      memory.drop_holding(holding.part);
+      cache_estimate.drop_holding(holding.part);
     } else {
-      memory.set_holding(holding.part, holding.weights, holding.tokens);
+      cache_estimate.set_holding(holding.part, holding.weights, holding.tokens);
     }
   }
 }
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -199,7 +199,7 @@
     if (named.version > target_versions.newest()) {
       log_.event(events::TargetWeightsChanged{named.model, named.version, named.age_ms});
     }
-    target_versions.note(named.version, loop_.now() - Duration(1000 * named.age_ms));
+    target_versions.record_version(named.version, loop_.now() - Duration(1000 * named.age_ms));
   }
   if (update.router_count > 0) {
     context_.router_count = update.router_count;
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -112,7 +112,8 @@
   void log_standing(uint64_t request, const char* source);
   /// Removes expired crash records and updates the metrics of suspect and quarantined requests.
   void expire_crash_records();
-  void apply_part_changes(const fleet::CacheChanges& changes, placement::KvCacheEstimate& memory) const;
+  void apply_part_changes(const fleet::CacheChanges& changes,
+                          placement::KvCacheEstimate& cache_estimate) const;
   /// Queues a placement for the other routers, which receive it in the next batch.
   void announce_placement(fleet::ChainPlacement placement);
   void apply_configuration(const fleet::FleetConfiguration& configuration);
--- a/src/placement/kv_cache_estimate.cc
+++ b/src/placement/kv_cache_estimate.cc
@@ -13,15 +13,15 @@
 
 uint32_t shared_tokens(const PromptChain& chain) {
   uint32_t tokens = 0;
-  for (size_t position = 0; position + 1 < chain.links.size(); ++position) {
-    tokens += chain.links[position].tokens;
+  for (size_t position = 0; position + 1 < chain.prompt_parts.size(); ++position) {
+    tokens += chain.prompt_parts[position].tokens;
   }
   return tokens;
 }
 
 uint64_t shared_key(const PromptChain& chain) {
-  const size_t last_shared = chain.links.size() > 1 ? chain.links.size() - 2 : 0;
-  return chain.links.empty() ? 0 : chain.links[last_shared].hash;
+  const size_t last_shared = chain.prompt_parts.size() > 1 ? chain.prompt_parts.size() - 2 : 0;
+  return chain.prompt_parts.empty() ? 0 : chain.prompt_parts[last_shared].hash;
 }
 
 KvCacheEstimate::Entry& KvCacheEstimate::entry_for(uint64_t part, uint64_t weights) {
@@ -39,7 +39,7 @@
 }
 
 void KvCacheEstimate::note_pending(const PromptChain& chain, uint64_t weights, TimePoint now) {
-  for (const ChainPart& part : chain.links) {
+  for (const ChainPart& part : chain.prompt_parts) {
     Entry& entry = entry_for(part.hash, weights);
     entry.pending_until = std::max(entry.pending_until, now + kPendingTimeout);
   }
@@ -57,7 +57,7 @@
 }
 
 void KvCacheEstimate::drop_pending(const PromptChain& chain) {
-  for (const ChainPart& part : chain.links) {
+  for (const ChainPart& part : chain.prompt_parts) {
     const auto found = entries_.find(part.hash);
     if (found != entries_.end()) {
       found->second.pending_until = TimePoint(0);
@@ -113,7 +113,7 @@
 uint32_t KvCacheEstimate::leading_tokens(const PromptChain& chain, uint64_t weights, TimePoint now,
                                          bool include_pending) const {
   uint32_t tokens = 0;
-  for (const ChainPart& part : chain.links) {
+  for (const ChainPart& part : chain.prompt_parts) {
     const Entry* entry = find(part.hash, weights);
     const bool pending = include_pending && entry != nullptr && entry->pending_until > now;
     const uint32_t held = pending ? part.tokens : tokens_held(part, entry, now);
@@ -135,8 +135,8 @@
 
 bool KvCacheEstimate::observed_within(const PromptChain& chain, uint64_t weights, TimePoint now,
                                       Duration age) const {
-  for (size_t position = 0; position + 1 < chain.links.size(); ++position) {
-    const Entry* entry = find(chain.links[position].hash, weights);
+  for (size_t position = 0; position + 1 < chain.prompt_parts.size(); ++position) {
+    const Entry* entry = find(chain.prompt_parts[position].hash, weights);
     if (entry == nullptr || !entry->seen(now, age)) {
       return false;
     }
--- a/src/placement/kv_cache_estimate.h
+++ b/src/placement/kv_cache_estimate.h
@@ -22,7 +22,7 @@
 
 /// The prompt of a request as a chain of parts. A cache can use a part only if it holds all preceding parts.
 struct PromptChain {
-  std::vector<ChainPart> links;  ///< the last one is private to the request or its session
+  std::vector<ChainPart> prompt_parts;  ///< the last one is private to the request or its session
   uint32_t prompt_tokens = 0;
 };
 
@@ -68,8 +68,8 @@
   /// Handles an event: the cache no longer holds anything of a part.
   void drop_holding(uint64_t part);
   /// Sets the validity of events, which must outlive this object; nullptr if no events arrive.
-  void follow(const EventValidity* trust) { trust_ = trust; }
-  bool followed(TimePoint now) const { return trust_ != nullptr && now < trust_->until; }
+  void follow(const EventValidity* validity) { validity_ = validity; }
+  bool followed(TimePoint now) const { return validity_ != nullptr && now < validity_->until; }
   /// Drops everything learned from events.
   void forget_holdings();
 
@@ -99,7 +99,7 @@
   void evict_old(TimePoint now);
 
   Duration hold_time_;
-  const EventValidity* trust_ = nullptr;         ///< nullptr if the control plane does not follow the cache
+  const EventValidity* validity_ = nullptr;      ///< nullptr if the control plane does not follow the cache
   std::unordered_map<uint64_t, Entry> entries_;  ///< by part hash
 };
 
--- a/src/placement/prompt_placement.cc
+++ b/src/placement/prompt_placement.cc
@@ -70,17 +70,18 @@
     const auto [entry, added] = groups.try_emplace(engine.weights);
     WeightsGroup& group = entry->second;
     if (added && store != nullptr) {
-      group.stored_tokens = std::min(shared, store->memory->held_tokens(chain, engine.weights, now));
+      group.stored_tokens = std::min(shared, store->cache_estimate->held_tokens(chain, engine.weights, now));
     }
     if (engine.candidate) {
       consider_home(group, position, engine, key);
     }
-    if (engine.memory == nullptr) {
+    if (engine.cache_estimate == nullptr) {
       continue;
     }
-    group.best_cached = std::max(group.best_cached,
-                                 std::min(shared, engine.memory->cached_tokens(chain, engine.weights, now)));
-    const uint32_t held = std::min(shared, engine.memory->held_tokens(chain, engine.weights, now));
+    group.best_cached =
+        std::max(group.best_cached,
+                 std::min(shared, engine.cache_estimate->cached_tokens(chain, engine.weights, now)));
+    const uint32_t held = std::min(shared, engine.cache_estimate->held_tokens(chain, engine.weights, now));
     if (engine.usable_as_source && held > 0) {
       consider_holder(group, {position, held}, engines);
     }
@@ -153,9 +154,9 @@
   const EngineView& engine = engines[position];
   const uint32_t shared = shared_tokens(chain);
   const uint32_t own_tokens =
-      engine.memory == nullptr
+      engine.cache_estimate == nullptr
           ? 0
-          : std::min(chain.prompt_tokens, engine.memory->cached_tokens(chain, engine.weights, now));
+          : std::min(chain.prompt_tokens, engine.cache_estimate->cached_tokens(chain, engine.weights, now));
   const double prefill_ms_per_token = engine.ms_per_token;
   const KvTransfer kv_transfer =
       choose_kv_transfer(position, own_tokens, engines, group, store, prefill_ms_per_token, costs);
--- a/src/placement/prompt_placement.h
+++ b/src/placement/prompt_placement.h
@@ -24,7 +24,7 @@
 /// What placement knows about one engine.
 struct EngineView {
   uint64_t name_hash = 0;
-  const KvCacheEstimate* memory = nullptr;
+  const KvCacheEstimate* cache_estimate = nullptr;
   uint64_t weights = 0;      ///< version of its weights for the chain's model
   uint32_t outstanding = 0;  ///< requests in flight there, from all routers as far as known
   uint32_t slots = 1;
@@ -39,7 +39,7 @@
 
 /// The store that is responsible for a chain.
 struct StoreView {
-  const KvCacheEstimate* memory = nullptr;
+  const KvCacheEstimate* cache_estimate = nullptr;
   topology::Location place;
 };
 
--- a/src/rollout/answer_counter.cc
+++ b/src/rollout/answer_counter.cc
@@ -50,45 +50,45 @@
   return sums;
 }
 
-void AnswerCounter::begin(CountedRequest& send, TimePoint now) {
-  send.sent_at = now;
+void AnswerCounter::begin(CountedRequest& request, TimePoint now) {
+  request.sent_at = now;
   // Requests to the target version are counted when sent and the others when they end, so that the target
   // version's share is never underestimated.
-  if (send.key.target) {
-    ++sums_of(send.key).sent;
+  if (request.key.target) {
+    ++sums_of(request.key).sent;
   }
 }
 
-void AnswerCounter::first_event(CountedRequest& send, TimePoint now) {
-  if (!send.timed) {
-    send.timed = true;
-    ++sums_of(send.key).times[latency_bucket(now - send.sent_at)];
+void AnswerCounter::first_event(CountedRequest& request, TimePoint now) {
+  if (!request.timed) {
+    request.timed = true;
+    ++sums_of(request.key).times[latency_bucket(now - request.sent_at)];
   }
 }
 
-void AnswerCounter::end(CountedRequest& send, SendOutcome end, TimePoint now) {
+void AnswerCounter::end(CountedRequest& request, SendOutcome end, TimePoint now) {
   if (end == SendOutcome::kNotRun) {
     return;
   }
-  if (!send.key.target) {
-    ++sums_of(send.key).sent;
+  if (!request.key.target) {
+    ++sums_of(request.key).sent;
   }
   switch (end) {
     case SendOutcome::kAnswered:
     case SendOutcome::kTimedOut:
-      first_event(send, now);
+      first_event(request, now);
       break;
     case SendOutcome::kFailed:
-      ++sums_of(send.key).failed;
+      ++sums_of(request.key).failed;
       break;
     case SendOutcome::kBroken:
-      ++sums_of(send.key).broken;
+      ++sums_of(request.key).broken;
       break;
     case SendOutcome::kAbandoned:
       // Callers also abandon fast answers. The answer counts as slow only if the caller waited for longer
       // than the objective.
-      if (now - send.sent_at > send.objective) {
-        first_event(send, now);
+      if (now - request.sent_at > request.objective) {
+        first_event(request, now);
       }
       break;
     case SendOutcome::kNotRun:
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -49,10 +49,10 @@
 class AnswerCounter {
  public:
   /// A request is sent to a backend.
-  void begin(CountedRequest& send, TimePoint now);
+  void begin(CountedRequest& request, TimePoint now);
   /// The first event, or the whole answer, has arrived.
-  void first_event(CountedRequest& send, TimePoint now);
-  void end(CountedRequest& send, SendOutcome end, TimePoint now);
+  void first_event(CountedRequest& request, TimePoint now);
+  void end(CountedRequest& request, SendOutcome end, TimePoint now);
   /// Removes the counts of rollouts whose ids are not listed.
   void retain_only(const std::set<uint64_t>& rollouts);
 
--- a/src/rollout/rollout_planner.cc
+++ b/src/rollout/rollout_planner.cc
@@ -199,8 +199,8 @@
   return std::nullopt;
 }
 
-std::optional<StepServiceRollout> step_from_returning(const RolloutView& view,
-                                                      const PlannerOptions& options) {
+std::optional<StepServiceRollout> step_from_rolling_back(const RolloutView& view,
+                                                         const PlannerOptions& options) {
   const Duration left = time_left(view);
   const bool final_window = left <= options.final_window && view.time_in_step >= options.final_window;
   if (view.all_applied || final_window || view.time_in_step >= options.rollback_timeout) {
@@ -247,7 +247,7 @@
     case RolloutPhase::kSwitching:
       return step_from_switching(view, options);
     case RolloutPhase::kRollingBack:
-      return step_from_returning(view, options);
+      return step_from_rolling_back(view, options);
     case RolloutPhase::kCompleted:
     case RolloutPhase::kRolledBack:
       break;
--- a/src/rollout/router_confirmations.cc
+++ b/src/rollout/router_confirmations.cc
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-void RouterConfirmations::note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied,
-                               TimePoint now) {
+void RouterConfirmations::record_applied(const std::string& router,
+                                         const std::vector<fleet::AppliedRollout>& applied, TimePoint now) {
   RouterReport& known = routers_[router];
   known.reported_at = now;
   known.closed_at = Duration::max();
--- a/src/rollout/router_confirmations.h
+++ b/src/rollout/router_confirmations.h
@@ -24,7 +24,8 @@
   /// `isolation_limit`: how long a router without contact to any member may keep serving.
   explicit RouterConfirmations(Duration isolation_limit) : isolation_limit_(isolation_limit) {}
 
-  void note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied, TimePoint now);
+  void record_applied(const std::string& router, const std::vector<fleet::AppliedRollout>& applied,
+                      TimePoint now);
   /// The router's connection was closed: it either reconnects soon or has ended.
   void on_connection_closed(const std::string& router, TimePoint now);
   /// Summarizes the reports on a step of a rollout. Routers that have ended, or have been out of contact for
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -40,7 +40,8 @@
   }
   bytes[Purpose::kBackends] =
       encoded_size(update.heartbeats) + encoded_size(update.engines) + encoded_size(update.unreachable);
-  bytes[Purpose::kHeartbeats] = encoded_size(update.marks) + encoded_size(update.questions);
+  bytes[Purpose::kHeartbeats] =
+      encoded_size(update.compact_heartbeats) + encoded_size(update.record_requests);
   bytes[Purpose::kRouters] = encoded_size(update.routers);
   bytes[Purpose::kLoads] = encoded_size(update.loads) + encoded_size(update.limits);
   bytes[Purpose::kCaches] = encoded_size(update.caches) + encoded_size(update.shared_parts);
--- a/standins/backend_server.cc
+++ b/standins/backend_server.cc
@@ -227,7 +227,7 @@
     exchange->reply(kMisdirectedRequest, kJson, "{}\n");
     return;
   }
-  const uint64_t fencing_token = body.value(names.fence, uint64_t{0});
+  const uint64_t fencing_token = body.value(names.fencing_token_field, uint64_t{0});
   const uint64_t version = body.value("version", uint64_t{0});
   if (fencing_token < highest_fencing_token_) {
     exchange->reply(kPreconditionFailed, kJson, "{}\n");
--- a/tests/property/service_rollout_property_test.cc
+++ b/tests/property/service_rollout_property_test.cc
@@ -17,7 +17,7 @@
 constexpr uint64_t kRollouts = 100000;
 constexpr unsigned kThreads = 4;
 /// Number of bad answers before the switch from which a bad version must be detected.
-constexpr double kClearlyBadAnswers = 100;
+constexpr double kClearlyBadResponses = 100;
 
 struct Outcomes {
   std::atomic<uint64_t> good{0};
@@ -42,7 +42,7 @@
   outcomes.bad_rolled_back += rollout.rolled_back_in_time() ? 1 : 0;
   const bool completed = rollout.rollout().phase == fleet::RolloutPhase::kCompleted;
   outcomes.clearly_bad_completed +=
-      completed && rollout.bad_responses_before_switch() >= kClearlyBadAnswers ? 1 : 0;
+      completed && rollout.bad_responses_before_switch() >= kClearlyBadResponses ? 1 : 0;
   outcomes.too_many += rollout.exceeded_exposure_bounds() ? 1 : 0;
   outcomes.too_long += rollout.rolled_back_too_late() ? 1 : 0;
 }
--- a/tests/simulation/rollout_scenarios_test.cc
+++ b/tests/simulation/rollout_scenarios_test.cc
@@ -45,7 +45,7 @@
     engine.record.service = "models";
     engine.record.models = models.empty() ? std::vector<fleet::ModelVersion>{{"m", 1}} : models;
   }
-  void name(uint64_t version) { named_["m"].note(version, now_); }
+  void name(uint64_t version) { named_["m"].record_version(version, now_); }
   /// Replaces the leader; the new one does not know the orders in progress of the old one.
   void change_leader() {
     rollout_ = std::make_unique<control::WeightRollout>(options());
--- a/tests/support/permit_fleet.h
+++ b/tests/support/permit_fleet.h
@@ -64,7 +64,7 @@
       leaders_.back().grants_until = now_ + admission::kPermitLease;
     }
     leaders_.emplace_back();
-    leaders_.back().book.start_leading(now_);
+    leaders_.back().issuer.start_leading(now_);
   }
 
   /// Returns the maximum number of requests sent within any window so far.
@@ -78,7 +78,7 @@
   static constexpr Duration kStep = 5ms;
   /// A member that is or was the leader.
   struct Leader {
-    admission::PermitIssuer book;
+    admission::PermitIssuer issuer;
     TimePoint grants_until = TimePoint::max();
   };
   struct Router {
@@ -127,11 +127,11 @@
     send_message([this, index, permit_request, leader_index, start_count] {
       ++permit_requests_;
       fleet::PermitResponse answer{permit_request.number, {}};
-      for (const fleet::PermitRequestItem& wanted : permit_request.wishes) {
+      for (const fleet::PermitRequestItem& wanted : permit_request.items) {
         if (now_ <= leaders_[leader_index].grants_until) {
           const auto grant =
-              leaders_[leader_index].book.ask(wanted.backend, wanted.per_second, wanted.count, now_);
-          answer.terms.push_back({wanted.backend, grant.count, to_milliseconds(grant.wait + 1ms - 1us)});
+              leaders_[leader_index].issuer.issue(wanted.backend, wanted.per_second, wanted.count, now_);
+          answer.grants.push_back({wanted.backend, grant.count, to_milliseconds(grant.wait + 1ms - 1us)});
         }
       }
       send_message([this, index, answer, start_count] {
--- a/tests/support/quota_fleet.h
+++ b/tests/support/quota_fleet.h
@@ -49,11 +49,11 @@
     quota_.unit = fleet::QuotaUnit::kTokens;
     for (size_t index = 0; index < options.members; ++index) {
       members_.push_back(std::make_unique<Member>(options_.tolerance, ++last_start_id_, now_));
-      members_.back()->book.configure(tenants(), now_);
+      members_.back()->ledger.configure(tenants(), now_);
     }
     for (size_t index = 0; index < options.routers; ++index) {
       routers_.push_back(std::make_unique<Router>(options_.tolerance, random_.bits()));
-      start_gate(*routers_.back());
+      start_enforcer(*routers_.back());
     }
   }
 
@@ -82,19 +82,19 @@
     earlier_rate_ = highest_rate;
     earlier_rate_until_ = now_ + kConfigurationDelay + options_.tolerance.window;
     for (auto& member : members_) {
-      member->book.configure(tenants(), now_);
+      member->ledger.configure(tenants(), now_);
     }
     for (auto& router : routers_) {
-      router->gate.configure(tenants());
+      router->enforcer.configure(tenants());
     }
   }
   void restart_router(size_t index) {
     routers_[index] = std::make_unique<Router>(options_.tolerance, random_.bits());
-    start_gate(*routers_[index]);
+    start_enforcer(*routers_[index]);
   }
   void restart_member(size_t index) {
     members_[index] = std::make_unique<Member>(options_.tolerance, ++last_start_id_, now_);
-    members_[index]->book.configure(tenants(), now_);
+    members_[index]->ledger.configure(tenants(), now_);
     for (auto& router : routers_) {
       router->received_revisions.erase(index);
     }
@@ -145,16 +145,16 @@
 
   struct Member {
     Member(const admission::QuotaTolerance& tolerance, uint64_t start_id, TimePoint now)
-        : book(tolerance, start_id, now) {}
-    admission::QuotaLedger book;
+        : ledger(tolerance, start_id, now) {}
+    admission::QuotaLedger ledger;
     bool cut = false;                ///< cut off from all routers and members
     bool isolated = false;           ///< cut off from the other members
     TimePoint link_changed_at{0};    ///< last change of `cut` or `isolated`
     std::map<size_t, bool> in_sync;  ///< by peer: no update from it has been lost since it last sent all sums
   };
   struct Router {
-    Router(const admission::QuotaTolerance& tolerance, uint64_t seed) : gate(tolerance, seed) {}
-    admission::QuotaEnforcer gate;
+    Router(const admission::QuotaTolerance& tolerance, uint64_t seed) : enforcer(tolerance, seed) {}
+    admission::QuotaEnforcer enforcer;
     bool cut = false;
     TimePoint link_changed_at{0};                   ///< last change of `cut`
     TimePoint last_contact{0};                      ///< last contact with a member
@@ -168,9 +168,9 @@
     tenant.quota = quota_;
     return {tenant};
   }
-  void start_gate(Router& router) {
-    router.gate.configure(tenants());
-    router.gate.set_router_count(static_cast<uint32_t>(options_.routers));
+  void start_enforcer(Router& router) {
+    router.enforcer.configure(tenants());
+    router.enforcer.set_router_count(static_cast<uint32_t>(options_.routers));
     router.last_contact = now_;
   }
   /// Delivers a message after the delay by running `action`, unless the message is lost.
@@ -198,7 +198,7 @@
     }
     if (tick % 10 == 0) {
       for (size_t index = 0; index < members_.size(); ++index) {
-        members_[index]->book.update(unheard_share(index), now_);
+        members_[index]->ledger.update(unheard_share(index), now_);
       }
     }
     make_requests();
@@ -220,7 +220,7 @@
     if (now_ - router.last_contact > kKeyLease || router.followed_member == SIZE_MAX) {
       return;  // the router accepts no access keys
     }
-    if (!router.gate.admit("t", cost, now_).admitted) {
+    if (!router.enforcer.admit("t", cost, now_).admitted) {
       ++refused_requests_;
       return;
     }
@@ -292,17 +292,17 @@
     if (router.followed_member != member || router.received_revisions.count(member) == 0) {
       router.followed_member = member;
       router.received_revisions[member] = 0;
-      router.gate.on_member_change();
+      router.enforcer.on_member_change();
       send_levels(router, *members_[member], member);
     }
-    if (router.gate.has_unreported()) {
-      auto batch = std::make_shared<admission::NumberedSpending>(router.gate.take_unreported());
+    if (router.enforcer.has_unreported()) {
+      auto batch = std::make_shared<admission::NumberedSpending>(router.enforcer.take_unreported());
       last_report_numbers_[index] = batch->number;
       Member* target = members_[member].get();
-      const uint64_t member_start = target->book.start_id();
+      const uint64_t member_start = target->ledger.start_id();
       in_flight_.add(now_ + options_.delay, [this, member, member_start, batch] {
-        if (members_[member]->book.start_id() == member_start) {
-          members_[member]->book.record_router_spending(batch->spending, now_);
+        if (members_[member]->ledger.start_id() == member_start) {
+          members_[member]->ledger.record_router_spending(batch->spending, now_);
         }
       });
     }
@@ -310,7 +310,7 @@
   /// Confirms to a router that its last report was received.
   void confirm_reports(size_t index) {
     if (choose_member(index) != SIZE_MAX) {
-      routers_[index]->gate.confirm(last_report_numbers_[index]);
+      routers_[index]->enforcer.confirm(last_report_numbers_[index]);
     }
   }
   void send_all_levels() {
@@ -322,18 +322,18 @@
   }
   /// Sends a router the levels that have changed since it last received any from the member.
   void send_levels(Router& router, Member& member, size_t index) {
-    router.gate.note_update(now_);
-    router.received_revisions[index] = member.book.levels().visit_since(
+    router.enforcer.note_update(now_);
+    router.received_revisions[index] = member.ledger.levels().visit_since(
         router.received_revisions[index], SIZE_MAX, [&](const std::string&, const fleet::QuotaLevel* level) {
           if (level != nullptr) {
-            router.gate.on_level(*level);
+            router.enforcer.on_level(*level);
           }
         });
   }
   /// Sends the changed sums of each member to all others.
   void exchange_sums() {
     for (size_t from = 0; from < members_.size(); ++from) {
-      const auto changed_sums = members_[from]->book.take_changed_sums();
+      const auto changed_sums = members_[from]->ledger.take_changed_sums();
       for (size_t to = 0; to < members_.size(); ++to) {
         if (to == from) {
           continue;
@@ -348,19 +348,19 @@
   }
   /// Sends a member's changed sums to another, or all sums if the other may have missed some.
   void send_to_peer(size_t from, size_t to, const std::vector<fleet::TenantSpending>& changed_sums) {
-    const uint64_t member_start = members_[from]->book.start_id();
+    const uint64_t member_start = members_[from]->ledger.start_id();
     bool& in_sync = members_[to]->in_sync[from];
     const bool send_all = !in_sync || known_start_ids_[{to, from}] != member_start;
     in_sync = true;
     known_start_ids_[{to, from}] = member_start;
-    const auto sent_sums = send_all ? members_[from]->book.sums() : changed_sums;
-    const auto windows = members_[from]->book.windows(now_);
-    const Duration age = members_[from]->book.age(now_);
+    const auto sent_sums = send_all ? members_[from]->ledger.sums() : changed_sums;
+    const auto windows = members_[from]->ledger.windows(now_);
+    const Duration age = members_[from]->ledger.age(now_);
     const auto scope = send_all ? admission::SumsScope::kAll : admission::SumsScope::kChanged;
     send_message([this, from, to, member_start, send_all, scope, sent_sums, windows, age] {
-      members_[to]->book.record_peer_sums("m" + std::to_string(from), member_start, scope, sent_sums, now_);
+      members_[to]->ledger.record_peer_sums("m" + std::to_string(from), member_start, scope, sent_sums, now_);
       if (send_all) {
-        members_[to]->book.adopt_window_spending(windows, age, now_);
+        members_[to]->ledger.adopt_window_spending(windows, age, now_);
       }
     });
   }
--- a/tests/unit/backend_limit_test.cc
+++ b/tests/unit/backend_limit_test.cc
@@ -205,7 +205,7 @@
     const uint64_t number = limits.take_permit_request(now).number;
     fleet::PermitResponse answer;
     answer.number = number;
-    answer.terms.push_back({"b", 1, 0});
+    answer.grants.push_back({"b", 1, 0});
     limits.on_permit_answer(answer, now);
   };
   grant_one(2s);
--- a/tests/unit/cache_event_poller_test.cc
+++ b/tests/unit/cache_event_poller_test.cc
@@ -41,25 +41,25 @@
  protected:
   static constexpr uint64_t kPart = 11;
   static constexpr uint64_t kOtherPart = 12;
-  CacheWatchTest() { watch_.follow({followed(1)}); }
+  CacheWatchTest() { poller_.follow({followed(1)}); }
   static control::FollowedCache followed(uint64_t claim) { return {"e1", "a:1", false, claim, 0, 0}; }
   /// Polls the cache, which answers that it is in `epoch` and reports these changes.
   void poll_and_answer(uint64_t epoch, uint64_t next, std::vector<CachedPart> holdings, bool gap = false) {
     now_ += 2s;
-    watch_.poll(now_);
+    poller_.poll(now_);
     ASSERT_EQ(engines_.requests.size(), 1U);
     const CacheEvents events{epoch, next, gap, std::move(holdings)};
     engines_.answer(&events);
   }
 
   FakeEngines engines_;
-  CacheEventPoller watch_{engines_};
+  CacheEventPoller poller_{engines_};
   TimePoint now_{0};
 };
 
 TEST_F(CacheWatchTest, ReportsChangesOnce) {
   poll_and_answer(7, 3, {{kPart, 2, 100}, {kOtherPart, 2, 50}});
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].holder, "e1");
   EXPECT_TRUE(changes[0].is_subscribed);
@@ -70,30 +70,30 @@
   ASSERT_EQ(changes[0].holdings.size(), 2U);
   EXPECT_EQ(changes[0].holdings[0].part, kPart);
   EXPECT_EQ(changes[0].holdings[0].tokens, 100U);
-  EXPECT_TRUE(watch_.take_changes().empty());
+  EXPECT_TRUE(poller_.take_changes().empty());
 }
 
 TEST_F(CacheWatchTest, ReportsOnlyTheLastChangeOfAPart) {
   poll_and_answer(7, 3, {});
-  watch_.take_changes();
+  poller_.take_changes();
   poll_and_answer(7, 9,
                   {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kPart, 2, 0}, {kPart, 3, 70}, {kOtherPart, 2, 0}});
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 3, 70}, {kOtherPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, DropForOlderWeightsDoesNotReplaceNewerHolding) {
   poll_and_answer(7, 3, {});
-  watch_.take_changes();
+  poller_.take_changes();
   poll_and_answer(7, 9, {{kPart, 3, 100}, {kPart, 2, 0}});
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   EXPECT_EQ(changes.at(0).holdings, (std::vector<CachedPart>{{kPart, 3, 100}, {kPart, 2, 0}}));
 }
 
 TEST_F(CacheWatchTest, InitialReadOmitsDroppedParts) {
   poll_and_answer(7, 9, {{kPart, 2, 100}, {kOtherPart, 2, 50}, {kOtherPart, 2, 0}});
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_TRUE(changes.at(0).is_full_state);
   EXPECT_EQ(changes[0].holdings, (std::vector<CachedPart>{{kPart, 2, 100}}));
 }
@@ -104,11 +104,11 @@
     const std::string number = std::to_string(i);
     caches.push_back({"e" + number, "a" + number + ":1", false, 1, 0, 0});
   }
-  watch_.follow(caches);
+  poller_.follow(caches);
   size_t polls = 0;
   for (; engines_.requests.size() < 200; ++polls) {
     const size_t before = engines_.requests.size();
-    watch_.poll(now_ += 30ms);
+    poller_.poll(now_ += 30ms);
     EXPECT_LE(engines_.requests.size() - before, 2U);
     ASSERT_LT(polls, 150U);
   }
@@ -117,7 +117,7 @@
   while (!engines_.requests.empty()) {
     engines_.answer(&events);
   }
-  watch_.poll(now_ += 2s);
+  poller_.poll(now_ += 2s);
   EXPECT_EQ(engines_.requests.size(), 200U);
 }
 
@@ -125,7 +125,7 @@
   poll_and_answer(7, 3, {});
   poll_and_answer(7, 9, {});
   now_ += 2s;
-  watch_.poll(now_);
+  poller_.poll(now_);
   EXPECT_EQ(engines_.requests.at(0).since, 9U);
 }
 
@@ -145,22 +145,22 @@
 
 TEST_F(CacheWatchTest, RestartedCacheIsEmptyAndReadFromTheBeginning) {
   poll_and_answer(7, 300, {{kPart, 2, 100}});
-  watch_.take_changes();
+  poller_.take_changes();
   poll_and_answer(8, 4, {{kPart, 2, 100}});  // later events of the new epoch, without its first ones
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_TRUE(changes[0].is_full_state);
   EXPECT_TRUE(changes[0].holdings.empty());
   now_ += 2s;
-  watch_.poll(now_);
+  poller_.poll(now_);
   EXPECT_EQ(engines_.requests.at(0).since, 0U);
 }
 
 TEST_F(CacheWatchTest, GapInvalidatesAllContents) {
   poll_and_answer(7, 300, {{kPart, 2, 100}});
-  watch_.take_changes();
+  poller_.take_changes();
   poll_and_answer(7, 9000, {}, true);
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_TRUE(changes[0].is_full_state);
   EXPECT_TRUE(changes[0].holdings.empty());
@@ -168,21 +168,21 @@
 
 TEST_F(CacheWatchTest, ReportsAnUnreachableCache) {
   poll_and_answer(7, 300, {{kPart, 2, 100}});
-  watch_.take_changes();
+  poller_.take_changes();
   now_ += 2s;
-  watch_.poll(now_);
+  poller_.poll(now_);
   engines_.answer(nullptr);
-  const auto changes = watch_.take_changes();
+  const auto changes = poller_.take_changes();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_FALSE(changes[0].is_subscribed);
 }
 
 TEST_F(CacheWatchTest, IgnoresAnAnswerForAnEarlierClaim) {
-  watch_.poll(now_);
-  watch_.follow({followed(2)});
+  poller_.poll(now_);
+  poller_.follow({followed(2)});
   const CacheEvents events{7, 3, false, {{kPart, 2, 100}}};
   engines_.answer(&events);
-  EXPECT_TRUE(watch_.take_changes().empty());
+  EXPECT_TRUE(poller_.take_changes().empty());
 }
 
 /// The known contents of one cache, and a prompt with two shared parts and one of its own.
@@ -190,65 +190,65 @@
  protected:
   static constexpr uint64_t kWeights = 3;
   placement::PromptChain chain_{{{1, 1000}, {2, 500}, {3, 70}}, 1570};
-  placement::EventValidity trust_{3600s};
-  placement::KvCacheEstimate memory_;
+  placement::EventValidity validity_{3600s};
+  placement::KvCacheEstimate cache_estimate_;
 };
 
 TEST_F(ChainMemoryTest, WithEventsOnlyReportedHoldingsCount) {
-  memory_.note_held({1, 2}, kWeights, 1s);
-  memory_.follow(&trust_);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s + placement::kEventDelay + 1ms), 0U);
-  memory_.set_holding(1, kWeights, 1000);
-  memory_.set_holding(2, kWeights, 500);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 60s), 1500U);
-  EXPECT_TRUE(memory_.certainly_holds(chain_, kWeights, 60s));
+  cache_estimate_.note_held({1, 2}, kWeights, 1s);
+  cache_estimate_.follow(&validity_);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s + placement::kEventDelay + 1ms), 0U);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  cache_estimate_.set_holding(2, kWeights, 500);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 60s), 1500U);
+  EXPECT_TRUE(cache_estimate_.certainly_holds(chain_, kWeights, 60s));
 }
 
 TEST_F(ChainMemoryTest, PartiallyDroppedPartEndsTheUsablePrefix) {
-  memory_.follow(&trust_);
-  memory_.set_holding(1, kWeights, 1000);
-  memory_.set_holding(2, kWeights, 500);
-  memory_.set_holding(1, kWeights, 640);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 640U);
-  EXPECT_FALSE(memory_.certainly_holds(chain_, kWeights, 1s));
+  cache_estimate_.follow(&validity_);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  cache_estimate_.set_holding(2, kWeights, 500);
+  cache_estimate_.set_holding(1, kWeights, 640);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s), 640U);
+  EXPECT_FALSE(cache_estimate_.certainly_holds(chain_, kWeights, 1s));
 }
 
 TEST_F(ChainMemoryTest, DropEventOverridesARecentObservation) {
-  memory_.follow(&trust_);
-  memory_.set_holding(1, kWeights, 1000);
-  memory_.note_held({1}, kWeights, 1s);
-  memory_.set_holding(1, kWeights, 0);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
+  cache_estimate_.follow(&validity_);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  cache_estimate_.note_held({1}, kWeights, 1s);
+  cache_estimate_.set_holding(1, kWeights, 0);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
 TEST_F(ChainMemoryTest, DropEventForAnUnreportedPartIsIgnored) {
-  memory_.follow(&trust_);
-  memory_.note_held({1}, kWeights, 1s);
-  memory_.drop_holding(1);  // refers to an earlier copy
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 1000U);
-  memory_.set_holding(1, kWeights, 1000);
-  memory_.drop_holding(1);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
+  cache_estimate_.follow(&validity_);
+  cache_estimate_.note_held({1}, kWeights, 1s);
+  cache_estimate_.drop_holding(1);  // refers to an earlier copy
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s), 1000U);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  cache_estimate_.drop_holding(1);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
 TEST_F(ChainMemoryTest, WithoutEventsObservationsCountUntilTheyExpire) {
-  trust_.until = 2s;
-  memory_.follow(&trust_);
-  memory_.set_holding(1, kWeights, 1000);
-  memory_.note_held({2}, kWeights, 1s);
+  validity_.until = 2s;
+  cache_estimate_.follow(&validity_);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  cache_estimate_.note_held({2}, kWeights, 1s);
   // No event shows whether the first part is still held.
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 0U);
-  memory_.note_held({1}, kWeights, 2s);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 3s), 1500U);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 2s + placement::kHoldTime + 1ms), 0U);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 3s), 0U);
+  cache_estimate_.note_held({1}, kWeights, 2s);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 3s), 1500U);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 2s + placement::kHoldTime + 1ms), 0U);
 }
 
 TEST_F(ChainMemoryTest, NewWeightsInvalidateAllHoldings) {
-  memory_.follow(&trust_);
-  memory_.set_holding(1, kWeights, 1000);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights + 1, 1s), 0U);
-  memory_.set_holding(1, kWeights + 1, 10);
-  EXPECT_EQ(memory_.held_tokens(chain_, kWeights, 1s), 0U);
+  cache_estimate_.follow(&validity_);
+  cache_estimate_.set_holding(1, kWeights, 1000);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights + 1, 1s), 0U);
+  cache_estimate_.set_holding(1, kWeights + 1, 10);
+  EXPECT_EQ(cache_estimate_.held_tokens(chain_, kWeights, 1s), 0U);
 }
 
 TEST(StoreSet, AssignsEachChainToOneStoreAndUsesAllStores) {
@@ -274,12 +274,12 @@
 
 TEST(StoreSet, StoreIsEmptyWhenAddedAgain) {
   dispatch::StoreSet stores;
-  stores.add("s:1").memory.note_held({1}, 1, 1s);
+  stores.add("s:1").cache_estimate.note_held({1}, 1, 1s);
   const placement::PromptChain chain{{{1, 1000}, {2, 70}}, 1070};
-  EXPECT_EQ(stores.store_for(chain)->memory.held_tokens(chain, 1, 1s), 1000U);
+  EXPECT_EQ(stores.store_for(chain)->cache_estimate.held_tokens(chain, 1, 1s), 1000U);
   stores.remove("s:1");
   stores.add("s:1");
-  EXPECT_EQ(stores.store_for(chain)->memory.held_tokens(chain, 1, 1s), 0U);
+  EXPECT_EQ(stores.store_for(chain)->cache_estimate.held_tokens(chain, 1, 1s), 0U);
 }
 
 TEST(CacheNamespace, RoundTripsThroughTheSalt) {
--- a/tests/unit/crash_history_test.cc
+++ b/tests/unit/crash_history_test.cc
@@ -16,46 +16,46 @@
 constexpr uint64_t kRequest = 7;
 
 /// Returns a CrashHistory with `crashes` crashes of kRequest, one second apart, starting at 1 s.
-CrashHistory book_with_crashes(uint32_t crashes) {
-  CrashHistory book;
+CrashHistory history_with_crashes(uint32_t crashes) {
+  CrashHistory history;
   for (uint32_t number = 1; number <= crashes; ++number) {
-    book.note_crash(kRequest, "b" + std::to_string(number), std::chrono::seconds(number));
+    history.note_crash(kRequest, "b" + std::to_string(number), std::chrono::seconds(number));
   }
-  return book;
+  return history;
 }
 
 TEST(CrashHistory, RequestIsSuspectAfterSecondCrashAndQuarantinedAfterThird) {
-  EXPECT_EQ(book_with_crashes(1).standing(kRequest, 4s).standing, RequestStanding::kClear);
-  EXPECT_EQ(book_with_crashes(2).standing(kRequest, 4s).standing, RequestStanding::kSuspect);
-  EXPECT_EQ(book_with_crashes(3).standing(kRequest, 4s).standing, RequestStanding::kQuarantined);
-  EXPECT_EQ(book_with_crashes(3).standing(kRequest, 4s).left, 119s);
-  EXPECT_EQ(book_with_crashes(3).standing(kRequest, 200s).standing,
+  EXPECT_EQ(history_with_crashes(1).standing(kRequest, 4s).standing, RequestStanding::kClear);
+  EXPECT_EQ(history_with_crashes(2).standing(kRequest, 4s).standing, RequestStanding::kSuspect);
+  EXPECT_EQ(history_with_crashes(3).standing(kRequest, 4s).standing, RequestStanding::kQuarantined);
+  EXPECT_EQ(history_with_crashes(3).standing(kRequest, 4s).left, 119s);
+  EXPECT_EQ(history_with_crashes(3).standing(kRequest, 200s).standing,
             RequestStanding::kSuspect);  // it may be tried once
-  EXPECT_EQ(book_with_crashes(4).standing(kRequest, 5s).left, 239s);
+  EXPECT_EQ(history_with_crashes(4).standing(kRequest, 5s).left, 239s);
 }
 
 TEST(CrashHistory, CrashReportedByManyRoutersCountsOnce) {
-  CrashHistory book;
+  CrashHistory history;
   for (int router = 0; router < 5; ++router) {
-    book.note_crash(kRequest, "b1", 1s);
-    book.merge({kRequest, {{"b1", 300, false, false}}}, 2s);
+    history.note_crash(kRequest, "b1", 1s);
+    history.merge({kRequest, {{"b1", 300, false, false}}}, 2s);
   }
-  EXPECT_EQ(book.crashes(kRequest, 5s), 1U);
+  EXPECT_EQ(history.crashes(kRequest, 5s), 1U);
 }
 
 TEST(CrashHistory, OneSuccessfulCompletionClearsAllCrashes) {
-  CrashHistory book = book_with_crashes(3);
-  EXPECT_TRUE(book.clear_crashes(kRequest, 4s));
-  EXPECT_EQ(book.standing(kRequest, 4s).standing, RequestStanding::kClear);
-  EXPECT_FALSE(book.clear_crashes(kRequest, 4s));
+  CrashHistory history = history_with_crashes(3);
+  EXPECT_TRUE(history.clear_crashes(kRequest, 4s));
+  EXPECT_EQ(history.standing(kRequest, 4s).standing, RequestStanding::kClear);
+  EXPECT_FALSE(history.clear_crashes(kRequest, 4s));
 }
 
 TEST(CrashHistory, LateRecordDoesNotUndoClearedCrashes) {
-  CrashHistory book = book_with_crashes(3);
-  const fleet::CrashRecord before = book.record(kRequest, 4s);
-  book.clear_crashes(kRequest, 4s);
-  EXPECT_FALSE(book.merge(before, 5s));
-  EXPECT_EQ(book.crashes(kRequest, 5s), 0U);
+  CrashHistory history = history_with_crashes(3);
+  const fleet::CrashRecord before = history.record(kRequest, 4s);
+  history.clear_crashes(kRequest, 4s);
+  EXPECT_FALSE(history.merge(before, 5s));
+  EXPECT_EQ(history.crashes(kRequest, 5s), 0U);
 }
 
 TEST(CrashHistory, MergingConvergesForAnyRecordOrder) {
@@ -78,31 +78,31 @@
 
 // Guards against sending a request to more backends while its crashes are still unconfirmed.
 TEST(CrashHistory, BrokenExchangesCountAsCrashesUntilTheOutcomeIsKnown) {
-  CrashHistory book;
+  CrashHistory history;
   for (const char* backend : {"b1", "b2", "b3"}) {
-    EXPECT_TRUE(book.note_broken_exchange(kRequest, backend, 1s));
+    EXPECT_TRUE(history.note_broken_exchange(kRequest, backend, 1s));
   }
-  EXPECT_EQ(book.standing(kRequest, 2s).standing, RequestStanding::kQuarantined);
-  EXPECT_EQ(book.standing(kRequest, 2s).left, admission::kUnconfirmedCrashTimeout - 1s);
-  EXPECT_EQ(book.standing(kRequest, 1s + admission::kUnconfirmedCrashTimeout).standing,
+  EXPECT_EQ(history.standing(kRequest, 2s).standing, RequestStanding::kQuarantined);
+  EXPECT_EQ(history.standing(kRequest, 2s).left, admission::kUnconfirmedCrashTimeout - 1s);
+  EXPECT_EQ(history.standing(kRequest, 1s + admission::kUnconfirmedCrashTimeout).standing,
             RequestStanding::kClear);
-  EXPECT_TRUE(book.note_survival(kRequest, "b3", 2s));
-  EXPECT_EQ(book.standing(kRequest, 2s).standing, RequestStanding::kSuspect);
-  EXPECT_FALSE(book.note_broken_exchange(kRequest, "b3", 2s))
+  EXPECT_TRUE(history.note_survival(kRequest, "b3", 2s));
+  EXPECT_EQ(history.standing(kRequest, 2s).standing, RequestStanding::kSuspect);
+  EXPECT_FALSE(history.note_broken_exchange(kRequest, "b3", 2s))
       << "a late broken exchange must not override a known survival";
-  EXPECT_TRUE(book.note_crash(kRequest, "b3", 3s)) << "a confirmed crash overrides survival";
-  EXPECT_TRUE(book.note_crash(kRequest, "b1", 3s));
-  EXPECT_TRUE(book.note_crash(kRequest, "b2", 3s));
-  EXPECT_GT(book.standing(kRequest, 4s).left, 100s);
+  EXPECT_TRUE(history.note_crash(kRequest, "b3", 3s)) << "a confirmed crash overrides survival";
+  EXPECT_TRUE(history.note_crash(kRequest, "b1", 3s));
+  EXPECT_TRUE(history.note_crash(kRequest, "b2", 3s));
+  EXPECT_GT(history.standing(kRequest, 4s).left, 100s);
 }
 
 TEST(CrashHistory, ManyOtherRequestsDoNotEvictASuspect) {
-  CrashHistory book = book_with_crashes(2);
+  CrashHistory history = history_with_crashes(2);
   for (uint64_t other = 100; other < 40000; ++other) {
-    book.note_crash(other, "elsewhere", 3s);
+    history.note_crash(other, "elsewhere", 3s);
   }
-  EXPECT_EQ(book.crashes(kRequest, 5s), 2U);
-  EXPECT_LE(book.size(), 8192U);
+  EXPECT_EQ(history.crashes(kRequest, 5s), 2U);
+  EXPECT_LE(history.size(), 8192U);
 }
 
 /// A service of 12 backends runs requests of 300 ms each, 40 at a time, while one backend after another is
@@ -113,14 +113,14 @@
   constexpr Duration kKillInterval = 500ms;  // each backend is killed every 6 s
   constexpr uint32_t kMaxSends = 4;
   Random random(11);
-  CrashHistory book;
+  CrashHistory history;
   uint32_t quarantined = 0;
   constexpr uint32_t kRequests = 100000;
   for (uint64_t request = 0; request < kRequests; ++request) {
     const TimePoint begin = Duration(static_cast<int64_t>(request) * 7500);
     TimePoint sent = begin;
     for (uint32_t send = 0; send < kMaxSends; ++send) {
-      if (book.standing(request, sent).standing == RequestStanding::kQuarantined) {
+      if (history.standing(request, sent).standing == RequestStanding::kQuarantined) {
         ++quarantined;
         break;
       }
@@ -128,10 +128,10 @@
       const auto next_kill = static_cast<uint64_t>(sent / kKillInterval + 1);
       const TimePoint killed = static_cast<int64_t>(next_kill) * kKillInterval;
       if (next_kill % kBackends != backend || killed > sent + kRunDuration) {
-        book.clear_crashes(request, sent);
+        history.clear_crashes(request, sent);
         break;
       }
-      book.note_crash(request, std::to_string(backend) + "@" + std::to_string(next_kill), killed);
+      history.note_crash(request, std::to_string(backend) + "@" + std::to_string(next_kill), killed);
       sent = killed + Duration(static_cast<int64_t>(random.below(400000)));
     }
   }
--- a/tests/unit/explain_test.cc
+++ b/tests/unit/explain_test.cc
@@ -15,7 +15,7 @@
 std::string event_line(int64_t ms, const std::string& request, const Event& event) {
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000000 + ms));
-  line.part = "router";
+  line.component_name = "router";
   line.log_message = Event::kMessage;
   line.fields = event.fields();
   if (!request.empty()) {
--- a/tests/unit/first_event_model_test.cc
+++ b/tests/unit/first_event_model_test.cc
@@ -192,7 +192,7 @@
 
 TEST(FirstEventModel, BusyEngineWithoutSharedPartLosesToFasterEngine) {
   PromptChain chain;
-  chain.links = {{1, 2000}, {2, 500}};
+  chain.prompt_parts = {{1, 2000}, {2, 500}};
   chain.prompt_tokens = 2500;
   std::vector<EngineView> engines(2);
   for (size_t engine = 0; engine < engines.size(); ++engine) {
--- a/tests/unit/fleet_parts_test.cc
+++ b/tests/unit/fleet_parts_test.cc
@@ -174,10 +174,10 @@
   }
 }
 
-placement::PromptChain chain(std::initializer_list<std::pair<uint64_t, uint32_t>> links) {
+placement::PromptChain chain(std::initializer_list<std::pair<uint64_t, uint32_t>> prompt_parts) {
   placement::PromptChain result;
-  for (const auto& [hash, tokens] : links) {
-    result.links.push_back({hash, tokens});
+  for (const auto& [hash, tokens] : prompt_parts) {
+    result.prompt_parts.push_back({hash, tokens});
     result.prompt_tokens += tokens;
   }
   return result;
@@ -187,10 +187,10 @@
 class PartPlacementTest : public ::testing::Test {
  protected:
   static constexpr uint64_t kWeights = 4;
-  PartPlacementTest() : memories_(3), engines_(3) {
+  PartPlacementTest() : cache_estimates_(3), engines_(3) {
     for (size_t i = 0; i < 3; ++i) {
       engines_[i].name_hash = i + 1;
-      engines_[i].memory = &memories_[i];
+      engines_[i].cache_estimate = &cache_estimates_[i];
       engines_[i].weights = kWeights;
       engines_[i].slots = 8;
       engines_[i].ms_per_token = kMsPerToken;
@@ -210,7 +210,7 @@
 
   static constexpr double kMsPerToken = 1 / 38.0;
   placement::PromptChain prompt_ = chain({{1, 4000}, {2, 500}});
-  std::vector<placement::KvCacheEstimate> memories_;
+  std::vector<placement::KvCacheEstimate> cache_estimates_;
   std::vector<placement::EngineView> engines_;
 };
 
@@ -225,26 +225,26 @@
 TEST_F(PartPlacementTest, SourceIsAKnownHolder) {
   allow_only(0);
   EXPECT_EQ(place().source, std::nullopt);
-  memories_[2].note_held({1}, kWeights, 1s);
+  cache_estimates_[2].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place().source, std::optional<size_t>(2));
   EXPECT_EQ(place().missing_tokens, 500U);
-  memories_[0].note_held({1}, kWeights, 1s);
+  cache_estimates_[0].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place().source, std::nullopt);
 }
 
 TEST_F(PartPlacementTest, HolderExpiresAfterTheHoldTime) {
   allow_only(0);
-  memories_[2].note_held({1}, kWeights, 1s);
+  cache_estimates_[2].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place(1s + placement::kHoldTime + 1ms).source, std::nullopt);
 }
 
 TEST_F(PartPlacementTest, SourceIsTheHolderOfTheLongestPrefix) {
   prompt_ = chain({{1, 2000}, {2, 3000}, {3, 500}});
   allow_only(0);
-  memories_[1].note_held({1}, kWeights, 1s);
+  cache_estimates_[1].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place().source, std::optional<size_t>(1));
   EXPECT_EQ(place().missing_tokens, 3500U);
-  memories_[2].note_held({1, 2}, kWeights, 1s);
+  cache_estimates_[2].note_held({1, 2}, kWeights, 1s);
   EXPECT_EQ(place().source, std::optional<size_t>(2));
   EXPECT_EQ(place().missing_tokens, 500U);
 }
@@ -252,40 +252,41 @@
 TEST_F(PartPlacementTest, HolderInTheTargetsZoneIsThePreferredSource) {
   allow_only(0);
   engines_[1].place.zone = 7;
-  memories_[1].note_held({1}, kWeights, 1s);
-  memories_[2].note_held({1}, kWeights, 1s);
+  cache_estimates_[1].note_held({1}, kWeights, 1s);
+  cache_estimates_[2].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place().source, std::optional<size_t>(2));
 }
 
 TEST_F(PartPlacementTest, PendingPrefillAttractsRequestsButIsNotUsedAsSource) {
   const size_t other = (place().target + 1) % 3;
-  memories_[other].note_pending(prompt_, kWeights, 1s);
+  cache_estimates_[other].note_pending(prompt_, kWeights, 1s);
   queue_tokens(other, 4500);
   EXPECT_EQ(place().target, other);
   EXPECT_EQ(place().source, std::nullopt);
-  memories_[other].drop_pending(prompt_);
+  cache_estimates_[other].drop_pending(prompt_);
   EXPECT_NE(place().target, other);
 }
 
 TEST_F(PartPlacementTest, HolderWithOtherWeightsIsNotUsedAsSource) {
   allow_only(0);
-  memories_[2].note_held({1}, kWeights - 1, 1s);
+  cache_estimates_[2].note_held({1}, kWeights - 1, 1s);
   EXPECT_EQ(place().source, std::nullopt);
-  memories_[2].note_held({1}, kWeights + 1, 1s);
+  cache_estimates_[2].note_held({1}, kWeights + 1, 1s);
   EXPECT_EQ(place().source, std::nullopt);
-  memories_[2].note_held({1}, kWeights, 1s);  // an outdated report: the engine already has newer weights
+  cache_estimates_[2].note_held({1}, kWeights,
+                                1s);  // an outdated report: the engine already has newer weights
   EXPECT_EQ(place().source, std::nullopt);
 }
 
 TEST_F(PartPlacementTest, UnhealthyHolderIsNotUsedAsSource) {
   allow_only(0);
-  memories_[2].note_held({1}, kWeights, 1s);
+  cache_estimates_[2].note_held({1}, kWeights, 1s);
   engines_[2].usable_as_source = false;
   EXPECT_EQ(place().source, std::nullopt);
 }
 
 TEST_F(PartPlacementTest, NonCandidateEngineIsNeverTheTarget) {
-  memories_[2].note_held({1}, kWeights, 1s);
+  cache_estimates_[2].note_held({1}, kWeights, 1s);
   for (size_t target = 0; target < 3; ++target) {
     allow_only(target);
     EXPECT_EQ(place().target, target);
@@ -317,9 +318,9 @@
   }
   const size_t home = place().target;
   const size_t other = (home + 1) % 3;
-  memories_[other].note_held({1}, kWeights, 1s);
+  cache_estimates_[other].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place().target, other);  // its KV cache is already there
-  memories_[home].note_held({1}, kWeights, 1s);
+  cache_estimates_[home].note_held({1}, kWeights, 1s);
   engines_[home].outstanding = 100;
   engines_[other].outstanding = 100;
   // A third copy would evict another part.
@@ -333,7 +334,7 @@
   prompt_ = chain({{1, 2000}, {2, 3000}, {3, 500}});
   allow_only(0);
   placement::KvCacheEstimate store;
-  memories_[1].note_held({1}, kWeights, 1s);
+  cache_estimates_[1].note_held({1}, kWeights, 1s);
   store.note_held({1, 2}, kWeights, 1s);
   const placement::StoreView view{&store, {}};
   const auto placed = placement::choose_placement(prompt_, engines_, &view, {}, 1s);
@@ -378,9 +379,9 @@
   // Guards against a later version resetting the age of an earlier one: an engine that rejoined with version
   // 1 was used 8.5 s after version 2 had been announced, because version 3 had reset the age of version 2.
   fleet::VersionHistory wanted;
-  wanted.note(2, 4s);
-  wanted.note(3, 12s);
-  wanted.note(2, 5s);
+  wanted.record_version(2, 4s);
+  wanted.record_version(3, 12s);
+  wanted.record_version(2, 5s);
   EXPECT_EQ(wanted.outdated_for(1, 13s), std::optional<Duration>(9s));
   EXPECT_EQ(wanted.outdated_for(2, 13s), std::optional<Duration>(1s));
   EXPECT_EQ(wanted.outdated_for(3, 13s), std::nullopt);
--- a/tests/unit/fleet_soft_state_test.cc
+++ b/tests/unit/fleet_soft_state_test.cc
@@ -127,7 +127,7 @@
   EXPECT_GE(follower.messages, 3U);  // the full state is split into several messages
   first_.set_loading("e7", true);
   const FleetFeedUpdate message = first_.next_feed_message(follower.cursor, now_);
-  EXPECT_FALSE(message.anew);
+  EXPECT_FALSE(message.starts_full_state);
   ASSERT_EQ(message.backends.size(), 1U);
   EXPECT_TRUE(message.backends[0].loading);
   EXPECT_TRUE(first_.next_feed_message(follower.cursor, now_).empty());
@@ -350,7 +350,7 @@
   first_.on_heartbeat(engine_record("e1", 2), now_);
   const PeerUpdate peer_update = first_.take_peer_update(4, true, now_);
   EXPECT_TRUE(peer_update.heartbeats.empty());
-  ASSERT_EQ(peer_update.marks.size(), 1U);
+  ASSERT_EQ(peer_update.compact_heartbeats.size(), 1U);
   const TimePoint later = now_ + 5s;
   second_.on_peer_update(peer_update, later);
   second_.expire(later);
@@ -387,7 +387,7 @@
   started.expire(now_ + 500ms);
   FeedReceiver follower;
   FleetFeedUpdate message = started.next_feed_message(follower.cursor, now_);
-  EXPECT_TRUE(message.anew);
+  EXPECT_TRUE(message.starts_full_state);
   EXPECT_EQ(message.backends.size(), 1U);
   EXPECT_FALSE(message.complete);
   started.on_heartbeat(engine_record("e2"), now_ + 5s);
@@ -438,16 +438,17 @@
 }
 
 TEST(LeaderConfirmationTracker, ConfirmationAgeIsCountedFromTheRequest) {
-  control::LeaderConfirmationTracker questions;
-  const auto question = questions.make_request(10s);
-  questions.on_answer({question.number, 40, 7});
-  ASSERT_TRUE(questions.newest());
-  EXPECT_EQ(questions.newest()->at, 10s - 40ms);
-  EXPECT_EQ(questions.newest()->version, 7U);
-  questions.on_answer({question.number, 0, 8});  // a duplicate answer is ignored
-  EXPECT_EQ(questions.newest()->version, 7U);
-  questions.on_answer({questions.make_request(11s).number, -1, 9});  // the answering member is not the leader
-  EXPECT_EQ(questions.newest()->at, 10s - 40ms);
+  control::LeaderConfirmationTracker confirmation_tracker;
+  const auto request = confirmation_tracker.make_request(10s);
+  confirmation_tracker.on_answer({request.number, 40, 7});
+  ASSERT_TRUE(confirmation_tracker.newest());
+  EXPECT_EQ(confirmation_tracker.newest()->at, 10s - 40ms);
+  EXPECT_EQ(confirmation_tracker.newest()->version, 7U);
+  confirmation_tracker.on_answer({request.number, 0, 8});  // a duplicate answer is ignored
+  EXPECT_EQ(confirmation_tracker.newest()->version, 7U);
+  confirmation_tracker.on_answer(
+      {confirmation_tracker.make_request(11s).number, -1, 9});  // the answering member is not the leader
+  EXPECT_EQ(confirmation_tracker.newest()->at, 10s - 40ms);
 }
 
 }  // namespace
--- a/tests/unit/load_admission_test.cc
+++ b/tests/unit/load_admission_test.cc
@@ -193,7 +193,7 @@
     const auto held = router.waiting;
     for (const auto& [number, request] : held) {
       if (now() >= wait_limit(request->times, limits_)) {
-        router.queue.leave(number);
+        router.queue.cancel(number);
         router.waiting.erase(number);
         ask(router, *request) == AdmissionVerdict::kRefuse ? refuse(router, *request)
                                                            : send(router, *request);
@@ -366,7 +366,7 @@
 TEST_F(RequestQueueTest, RequestThatLeavesIsNotSent) {
   push("gone", {"a", 0, 1s, 10});
   push("stays", {"a", 0, 2s, 10});
-  queue_.leave(numbers_["gone"]);
+  queue_.cancel(numbers_["gone"]);
   EXPECT_EQ(send(5), "stays ");
   EXPECT_EQ(queue_.size(), 0U);
 }
--- a/tests/unit/logging_test.cc
+++ b/tests/unit/logging_test.cc
@@ -17,7 +17,7 @@
 LogLine sample() {
   LogLine line;
   line.time = LogTime(std::chrono::milliseconds(1780000000123));
-  line.part = "router";
+  line.component_name = "router";
   line.log_message = "request ended";
   line.fields = {{"request", "q1"}, {"outcome", "no back end"}, {"status", 503}};
   return line;
@@ -38,7 +38,7 @@
   ASSERT_TRUE(read.has_value()) << read.error();
   EXPECT_EQ(read->time, line.time);
   EXPECT_EQ(read->level, line.level);
-  EXPECT_EQ(read->part, line.part);
+  EXPECT_EQ(read->component_name, line.component_name);
   EXPECT_EQ(read->log_message, line.log_message);
   EXPECT_EQ(read->fields, line.fields);
 }
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -67,34 +67,34 @@
 }
 
 TEST(QuotaEnforcer, RequestThatDidNotRunIsRefunded) {
-  admission::QuotaEnforcer gate({}, 1);
-  gate.configure({limited_tenant()});
-  EXPECT_TRUE(gate.admit("t", 300, TimePoint(1s)).admitted);
-  gate.refund("t", 300, TimePoint(1s));
-  EXPECT_TRUE(gate.take_unreported().spending.empty());
+  admission::QuotaEnforcer enforcer({}, 1);
+  enforcer.configure({limited_tenant()});
+  EXPECT_TRUE(enforcer.admit("t", 300, TimePoint(1s)).admitted);
+  enforcer.refund("t", 300, TimePoint(1s));
+  EXPECT_TRUE(enforcer.take_unreported().spending.empty());
 }
 
 TEST(QuotaEnforcer, LevelIsValidWhileAnyUpdatesArrive) {
-  admission::QuotaEnforcer gate({}, 1);
-  gate.configure({limited_tenant()});
-  gate.on_level({"t", -5, true});
-  gate.note_update(1s);
-  gate.note_update(3s);
-  EXPECT_FALSE(gate.admit("t", 10, 3s + 100ms).admitted);
-  EXPECT_TRUE(gate.admit("t", 10, 5s).admitted)
+  admission::QuotaEnforcer enforcer({}, 1);
+  enforcer.configure({limited_tenant()});
+  enforcer.on_level({"t", -5, true});
+  enforcer.note_update(1s);
+  enforcer.note_update(3s);
+  EXPECT_FALSE(enforcer.admit("t", 10, 3s + 100ms).admitted);
+  EXPECT_TRUE(enforcer.admit("t", 10, 5s).admitted)
       << "without the control plane, a router may spend its share of the rate";
 }
 
 TEST(QuotaEnforcer, ReportsUnconfirmedSpendingToNextMember) {
-  admission::QuotaEnforcer gate({}, 1);
-  gate.configure({limited_tenant()});
-  gate.admit("t", 100, TimePoint(1s));
-  const auto first = gate.take_unreported();
-  gate.admit("t", 30, TimePoint(1s));
-  gate.take_unreported();
-  gate.confirm(first.number);
-  gate.on_member_change();
-  const auto again = gate.take_unreported();
+  admission::QuotaEnforcer enforcer({}, 1);
+  enforcer.configure({limited_tenant()});
+  enforcer.admit("t", 100, TimePoint(1s));
+  const auto first = enforcer.take_unreported();
+  enforcer.admit("t", 30, TimePoint(1s));
+  enforcer.take_unreported();
+  enforcer.confirm(first.number);
+  enforcer.on_member_change();
+  const auto again = enforcer.take_unreported();
   ASSERT_EQ(again.spending.size(), 1U);
   EXPECT_EQ(again.spending.front().amount, 30);
 }
@@ -103,8 +103,8 @@
   admission::QuotaLedger first({}, 1, TimePoint(0));
   admission::QuotaLedger second({}, 2, TimePoint(0));
   const TimePoint now = 20s;
-  for (auto* book : {&first, &second}) {
-    book->configure({limited_tenant()}, now);
+  for (auto* ledger : {&first, &second}) {
+    ledger->configure({limited_tenant()}, now);
   }
   second.record_peer_sums("first", 1, admission::SumsScope::kAll, first.sums(), now);
   first.record_router_spending({{"t", 400}}, now);
@@ -117,8 +117,8 @@
 /// A QuotaLedger with one tenant that has spent evenly at its rate of 1,000 per second for ten seconds.
 class LowerQuotaTest : public testing::Test {
  protected:
-  LowerQuotaTest() : book_(tolerance(), 1, TimePoint(0)) {
-    book_.configure({limited_tenant()}, TimePoint(0));
+  LowerQuotaTest() : ledger_(tolerance(), 1, TimePoint(0)) {
+    ledger_.configure({limited_tenant()}, TimePoint(0));
     spend_until(kChangeTime, 1000);
   }
   static admission::QuotaTolerance tolerance() {
@@ -136,29 +136,29 @@
   double spend_until(TimePoint until, double per_second) {
     double spent = 0;
     for (; now_ < until; now_ += 100ms) {
-      book_.update(0, now_);
-      const fleet::QuotaLevel* told = book_.levels().find("t");
-      if (told != nullptr && told->metered && told->level <= 0) {
+      ledger_.update(0, now_);
+      const fleet::QuotaLevel* quota_level = ledger_.levels().find("t");
+      if (quota_level != nullptr && quota_level->metered && quota_level->level <= 0) {
         continue;
       }
-      book_.record_router_spending({{"t", static_cast<int64_t>(per_second / 10)}}, now_);
+      ledger_.record_router_spending({{"t", static_cast<int64_t>(per_second / 10)}}, now_);
       spent += per_second / 10;
     }
     return spent;
   }
 
   static constexpr TimePoint kChangeTime = 20s;
-  admission::QuotaLedger book_;
+  admission::QuotaLedger ledger_;
   TimePoint now_{0};
 };
 
 TEST_F(LowerQuotaTest, PreviousQuotaAppliesUntilLowerOneTakesEffect) {
-  book_.configure({tenant_with(250)}, kChangeTime);
+  ledger_.configure({tenant_with(250)}, kChangeTime);
   EXPECT_GE(spend_until(kChangeTime + 1s, 1000), 900);
 }
 
 TEST_F(LowerQuotaTest, SpendingBeforeTheChangeDoesNotCountAgainstLowerQuota) {
-  book_.configure({tenant_with(250)}, kChangeTime);
+  ledger_.configure({tenant_with(250)}, kChangeTime);
   spend_until(kChangeTime + 1s, 1000);
   const double first_second = spend_until(kChangeTime + 2s, 1000);
   EXPECT_GE(first_second, 250) << "burst and rate of the lower quota are available at once";
@@ -169,8 +169,8 @@
 
 TEST_F(LowerQuotaTest, WindowsThatReachBackComplyWithPreviousQuota) {
   // The previous quota's whole window amount is spent right before the change.
-  book_.record_router_spending({{"t", 1000}}, kChangeTime);
-  book_.configure({tenant_with(900)}, kChangeTime);
+  ledger_.record_router_spending({{"t", 1000}}, kChangeTime);
+  ledger_.configure({tenant_with(900)}, kChangeTime);
   double spent = 1000;
   spent += spend_until(kChangeTime + 1s, 5000);
   spent += spend_until(kChangeTime + 4s, 5000);
@@ -179,8 +179,8 @@
 }
 
 TEST_F(LowerQuotaTest, HigherQuotaReplacesPendingLowerOneAtOnce) {
-  book_.configure({tenant_with(250)}, kChangeTime);
-  book_.configure({tenant_with(2000)}, kChangeTime + 500ms);
+  ledger_.configure({tenant_with(250)}, kChangeTime);
+  ledger_.configure({tenant_with(2000)}, kChangeTime + 500ms);
   now_ = kChangeTime + 500ms;
   EXPECT_GE(spend_until(kChangeTime + 2500ms, 2000), 3900);
 }
--- a/tests/unit/region_placement_test.cc
+++ b/tests/unit/region_placement_test.cc
@@ -58,11 +58,11 @@
  protected:
   static constexpr size_t kEngines = 8;
   static constexpr double kMsPerToken = 1.0 / 38;
-  RegionPlacementTest() : memories_(kEngines), engines_(kEngines) {
+  RegionPlacementTest() : cache_estimates_(kEngines), engines_(kEngines) {
     for (size_t position = 0; position < kEngines; ++position) {
       EngineView& engine = engines_[position];
       engine.name_hash = position + 1;
-      engine.memory = &memories_[position];
+      engine.cache_estimate = &cache_estimates_[position];
       engine.weights = kWeights;
       engine.slots = kSlots;
       engine.ms_per_token = kMsPerToken;
@@ -92,7 +92,7 @@
     return part;
   }
 
-  std::vector<KvCacheEstimate> memories_;
+  std::vector<KvCacheEstimate> cache_estimates_;
   std::vector<EngineView> engines_;
   PlacementCosts costs_;
 };
@@ -101,7 +101,7 @@
   for (uint64_t part = 1; part < 50; ++part) {
     EXPECT_TRUE(in_router_region(place(prompt(part, 92, 291)).target)) << part;
   }
-  memories_[6].note_held({7}, kWeights, 1s);
+  cache_estimates_[6].note_held({7}, kWeights, 1s);
   EXPECT_TRUE(in_router_region(place(prompt(7, 92, 291)).target))
       << "computing it locally is faster than sending it to the holder";
 }
@@ -109,14 +109,14 @@
 TEST_F(RegionPlacementTest, LongPromptHasOneHomeInTheFleet) {
   const uint64_t part = part_with_remote_home(13000);
   const size_t home = place(prompt(part, 13000, 3700)).target;
-  memories_[home].note_held({part}, kWeights, 1s);
+  cache_estimates_[home].note_held({part}, kWeights, 1s);
   EXPECT_EQ(place(prompt(part, 13000, 3700)).target, home);
 }
 
 TEST_F(RegionPlacementTest, LongPromptHeldInBothRegionsIsServedInTheRoutersRegion) {
   const uint64_t part = part_with_remote_home(13000);
-  memories_[6].note_held({part}, kWeights, 1s);
-  memories_[2].note_held({part}, kWeights, 1s);
+  cache_estimates_[6].note_held({part}, kWeights, 1s);
+  cache_estimates_[2].note_held({part}, kWeights, 1s);
   EXPECT_EQ(place(prompt(part, 13000, 3700)).target, 2U);
   // This holds until the local wait exceeds the cost of the distance.
   constexpr double kWaitMs = 100000 * kMsPerToken;
@@ -128,18 +128,18 @@
 
 TEST_F(RegionPlacementTest, SourceInTheOtherRegionIsNotUsed) {
   make_only_candidate(0);
-  memories_[6].note_held({1}, kWeights, 1s);
+  cache_estimates_[6].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place(prompt(1, 13000, 500)).source, std::nullopt);
   EXPECT_EQ(place(prompt(1, 13000, 500)).missing_tokens, 13500U);
-  memories_[3].note_held({1}, kWeights, 1s);
+  cache_estimates_[3].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place(prompt(1, 13000, 500)).source, std::optional<size_t>(3));
 }
 
 TEST_F(RegionPlacementTest, ShorterPrefixNearbyIsPreferredOverLongerOneInTheOtherRegion) {
   make_only_candidate(0);
   const PromptChain chain{{{1, 6000}, {2, 1000}, {3, 500}}, 7500};
-  memories_[6].note_held({1, 2}, kWeights, 1s);
-  memories_[3].note_held({1}, kWeights, 1s);
+  cache_estimates_[6].note_held({1, 2}, kWeights, 1s);
+  cache_estimates_[3].note_held({1}, kWeights, 1s);
   EXPECT_EQ(place(chain).source, std::optional<size_t>(3));
 }
 
--- a/tests/unit/resting_backend_test.cc
+++ b/tests/unit/resting_backend_test.cc
@@ -116,9 +116,9 @@
   EXPECT_EQ(ask_for(milliseconds(1), asked), 0U);
   EXPECT_LT(Clock::now() - begin, milliseconds(300));
   ASSERT_NE(last_refusal_.find("Retry-After: "), std::string::npos);
-  const double told = std::stod(last_refusal_.substr(last_refusal_.find("Retry-After: ") + 13));
-  EXPECT_GT(told, 1.5);
-  EXPECT_LT(told, 4.5);
+  const double retry_after_s = std::stod(last_refusal_.substr(last_refusal_.find("Retry-After: ") + 13));
+  EXPECT_GT(retry_after_s, 1.5);
+  EXPECT_LT(retry_after_s, 4.5);
   for (const BackoffEngine& engine : backoff_engines_) {
     EXPECT_EQ(engine.count_during_backoff(), 0U);
   }
--- a/tests/unit/service_rollout_test.cc
+++ b/tests/unit/service_rollout_test.cc
@@ -218,20 +218,20 @@
 
 TEST(AnswerCounts, IgnoresRejectedRequestsAndTimesAbandonedOnesOnlyBeyondTheObjective) {
   rollout::AnswerCounter counter;
-  rollout::CountedRequest send;
-  send.key = key_of(false);
-  send.objective = 500ms;
-  counter.begin(send, 1s);
-  counter.end(send, rollout::SendOutcome::kNotRun, 2s);
+  rollout::CountedRequest request;
+  request.key = key_of(false);
+  request.objective = 500ms;
+  counter.begin(request, 1s);
+  counter.end(request, rollout::SendOutcome::kNotRun, 2s);
   EXPECT_FALSE(counter.has_changes());
-  counter.begin(send, 1s);
-  counter.end(send, rollout::SendOutcome::kAbandoned, 1200ms);
+  counter.begin(request, 1s);
+  counter.end(request, rollout::SendOutcome::kAbandoned, 1200ms);
   const auto early = counter.take_changes();
   ASSERT_EQ(early.size(), 1U);
   EXPECT_EQ(early[0].sums.sent, 1U);
   EXPECT_EQ(early[0].sums.times[rollout::latency_bucket(200ms)], 0U);
-  counter.begin(send, 1s);
-  counter.end(send, rollout::SendOutcome::kAbandoned, 3s);
+  counter.begin(request, 1s);
+  counter.end(request, rollout::SendOutcome::kAbandoned, 3s);
   EXPECT_EQ(counter.take_changes()[0].sums.times[rollout::latency_bucket(2s)], 1U);
 }
 
@@ -253,63 +253,63 @@
     }
     return message;
   }
-  uint64_t total(const rollout::AnswerAggregator& book) const {
-    const auto found = book.totals().find(key_of(true, "e"));
-    return found == book.totals().end() ? 0 : found->second.sent;
+  uint64_t total(const rollout::AnswerAggregator& aggregator) const {
+    const auto found = aggregator.totals().find(key_of(true, "e"));
+    return found == aggregator.totals().end() ? 0 : found->second.sent;
   }
-  rollout::AnswerAggregator book_;
+  rollout::AnswerAggregator aggregator_;
 };
 
 TEST_F(AnswerBookTest, LaterMessageMakesUpForALostOne) {
-  book_.on_router(loads(1, true, 0));
-  book_.on_router(loads(1, false, 2));
-  book_.on_router(loads(1, false, 9));  // the message with count 5 was lost
-  EXPECT_EQ(total(book_), 9U);
-  book_.on_router(loads(1, true, 9));  // its feed restarts
-  EXPECT_EQ(total(book_), 9U);
+  aggregator_.on_router(loads(1, true, 0));
+  aggregator_.on_router(loads(1, false, 2));
+  aggregator_.on_router(loads(1, false, 9));  // the message with count 5 was lost
+  EXPECT_EQ(total(aggregator_), 9U);
+  aggregator_.on_router(loads(1, true, 9));  // its feed restarts
+  EXPECT_EQ(total(aggregator_), 9U);
 }
 
 TEST_F(AnswerBookTest, RouterFromAnotherMemberIsNotCountedTwice) {
-  book_.on_member("m2", 7, {count(10)});  // m2 has counted these already
-  book_.on_router(loads(1, true, 10));
-  book_.on_router(loads(1, false, 12));
-  EXPECT_EQ(total(book_), 12U);
+  aggregator_.on_member("m2", 7, {count(10)});  // m2 has counted these already
+  aggregator_.on_router(loads(1, true, 10));
+  aggregator_.on_router(loads(1, false, 12));
+  EXPECT_EQ(total(aggregator_), 12U);
 }
 
 TEST_F(AnswerBookTest, RestartedMemberOrRouterCountsFromZero) {
-  book_.on_member("m2", 7, {count(10)});
-  book_.on_member("m2", 8, {count(3)});
-  EXPECT_EQ(total(book_), 13U);
-  book_.on_router(loads(1, true, 0));
-  book_.on_router(loads(1, false, 4));
-  book_.on_router(loads(2, true, 0));
-  book_.on_router(loads(2, false, 1));
-  EXPECT_EQ(total(book_), 18U);
+  aggregator_.on_member("m2", 7, {count(10)});
+  aggregator_.on_member("m2", 8, {count(3)});
+  EXPECT_EQ(total(aggregator_), 13U);
+  aggregator_.on_router(loads(1, true, 0));
+  aggregator_.on_router(loads(1, false, 4));
+  aggregator_.on_router(loads(2, true, 0));
+  aggregator_.on_router(loads(2, false, 1));
+  EXPECT_EQ(total(aggregator_), 18U);
 }
 
 TEST_F(AnswerBookTest, CountsOfFinishedRolloutsAreRemoved) {
-  book_.on_member("m2", 7, {count(10)});
-  book_.retain_only({});
-  EXPECT_TRUE(book_.totals().empty());
+  aggregator_.on_member("m2", 7, {count(10)});
+  aggregator_.retain_only({});
+  EXPECT_TRUE(aggregator_.totals().empty());
 }
 
 TEST(RouterConfirmations, EveryServingRouterMustApplyTheStep) {
   rollout::RouterConfirmations confirmations(5s);
-  confirmations.note("r1", {{5, 3, 0, 2}}, 10s);
-  confirmations.note("r2", {{5, 2, 4, 0}}, 10s);
+  confirmations.record_applied("r1", {{5, 3, 0, 2}}, 10s);
+  confirmations.record_applied("r2", {{5, 2, 4, 0}}, 10s);
   EXPECT_FALSE(confirmations.confirmation_of(5, 3, 10s).all_applied);
-  confirmations.note("r2", {{5, 3, 1, 0}}, 10s);
+  confirmations.record_applied("r2", {{5, 3, 1, 0}}, 10s);
   EXPECT_TRUE(confirmations.confirmation_of(5, 3, 10s).all_applied);
   EXPECT_EQ(confirmations.confirmation_of(5, 3, 10s).others_running, 1U);
-  confirmations.note("r3", {}, 10s);
+  confirmations.record_applied("r3", {}, 10s);
   EXPECT_FALSE(confirmations.confirmation_of(5, 3, 10s).all_applied)
       << "r3 has just started and has applied nothing";
 }
 
 TEST(RouterConfirmations, EndedOrIsolatedRoutersAreIgnored) {
   rollout::RouterConfirmations confirmations(5s);
-  confirmations.note("r1", {{5, 2, 4, 0}}, 10s);
-  confirmations.note("r2", {{5, 2, 4, 0}}, 14s);
+  confirmations.record_applied("r1", {{5, 2, 4, 0}}, 10s);
+  confirmations.record_applied("r2", {{5, 2, 4, 0}}, 14s);
   confirmations.on_connection_closed("r2", 14s);
   EXPECT_FALSE(confirmations.confirmation_of(5, 3, 14500ms).all_applied);
   EXPECT_FALSE(confirmations.confirmation_of(5, 3, 14900ms).all_applied)
--- a/tests/unit/weight_rollout_test.cc
+++ b/tests/unit/weight_rollout_test.cc
@@ -32,7 +32,7 @@
 void record_versions(fleet::TargetWeights& named, const std::map<std::string, uint64_t>& weights,
                      TimePoint now) {
   for (const auto& [model, version] : weights) {
-    named[model].note(version, now);
+    named[model].record_version(version, now);
   }
 }
 
