--- a/src/common/random.h
+++ b/src/common/random.h
@@ -1,4 +1,4 @@
-/// The source of randomness that decision code is given. A seed makes every run repeatable.
+/// Seeded random numbers for decision code, so that a run can be repeated from its seed.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace stoat {
 
-/// A seeded generator. Owned by one object and used from one thread.
+/// A seeded generator. Not thread-safe.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
@@ -20,10 +20,10 @@
   }
 
   /// A uniform real in [0, 1).
-  double unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
+  double uniform_real() { return std::uniform_real_distribution<double>(0.0, 1.0)(engine_); }
 
   /// True with the given probability.
-  bool chance(double probability) { return unit() < probability; }
+  bool chance(double probability) { return uniform_real() < probability; }
 
   /// An exponentially distributed real with the given mean.
   double exponential(double mean) { return std::exponential_distribution<double>(1.0 / mean)(engine_); }
@@ -35,7 +35,7 @@
   std::mt19937_64 engine_;
 };
 
-/// A seed from the operating system, for programs that were given none.
+/// A seed from the operating system, for programs without a configured seed.
 inline uint64_t seed_from_device() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32U) | device();
--- a/src/consensus/replica_leader.cc
+++ b/src/consensus/replica_leader.cc
@@ -1,4 +1,4 @@
-// The leader's side of Replica: replication, commitment, confirmed reads, membership and handing over.
+// Leader side of Replica: replication, commitment, linearizable reads, membership and leadership transfer.
 #include <algorithm>
 
 #include "src/consensus/replica.h"
@@ -11,8 +11,8 @@
   leader_ = options_.id;
   progress_.clear();
   reads_.clear();
-  round_started_.clear();
-  // An entry of the new term commits what earlier terms left behind.
+  round_started_at_.clear();
+  // Committing an entry of the new term also commits the entries of earlier terms.
   Entry entry;
   entry.index = log_.last_index() + 1;
   entry.term = hard_state_.term;
@@ -35,7 +35,7 @@
     }
     Progress fresh;
     fresh.next = log_.last_index() + 1;
-    fresh.last_answer = now;
+    fresh.last_response = now;
     adjusted[member.id] = fresh;
   }
   progress_ = std::move(adjusted);
@@ -70,7 +70,7 @@
   std::set<MemberId> all;
   for (const Member& member : members.members) {
     if (!all.insert(member.id).second) {
-      return ProposeError::kListedTwice;
+      return ProposeError::kDuplicateMember;
     }
   }
   for (const Member& member : members_.members) {
@@ -87,7 +87,7 @@
   std::set_symmetric_difference(before.begin(), before.end(), after.begin(), after.end(),
                                 std::back_inserter(changed));
   if (changed.size() > 1 || after.empty()) {
-    return ProposeError::kTooManyAtOnce;
+    return ProposeError::kInvalidVoterChange;
   }
   Entry entry;
   entry.index = log_.last_index() + 1;
@@ -104,12 +104,12 @@
   if (progress.next <= log_.snapshot_index() && encoded_snapshot_ != nullptr) {
     if (!progress.sending_snapshot || heartbeat) {
       progress.sending_snapshot = true;
-      send_snapshot_piece(member, progress, now);
+      send_snapshot_chunk(member, progress, now);
     }
     return;
   }
   if (progress.sending_snapshot) {
-    // A late answer to an earlier append has shown that the follower needs no snapshot.
+    // A late response to an earlier append has shown that the follower needs no snapshot.
     progress.sending_snapshot = false;
     progress.snapshot_offset = 0;
     progress.inflight = 0;
@@ -129,27 +129,27 @@
   output_.send_now.push_back(std::move(message));
 }
 
-void Replica::send_snapshot_piece(MemberId member, Progress& progress, TimePoint now) {
-  Message message = make_message(MessageKind::kSnapshotPiece, member);
+void Replica::send_snapshot_chunk(MemberId member, Progress& progress, TimePoint now) {
+  Message message = make_message(MessageKind::kSnapshotChunk, member);
   if (progress.snapshot_offset > encoded_snapshot_->size()) {
     progress.snapshot_offset = 0;
   }
   message.round = round_;
   message.log_index = log_.snapshot_index();
   message.offset = progress.snapshot_offset;
-  message.bytes = encoded_snapshot_->substr(progress.snapshot_offset, options_.snapshot_piece_bytes);
-  message.last_piece = progress.snapshot_offset + message.bytes.size() == encoded_snapshot_->size();
+  message.bytes = encoded_snapshot_->substr(progress.snapshot_offset, options_.snapshot_chunk_bytes);
+  message.last_chunk = progress.snapshot_offset + message.bytes.size() == encoded_snapshot_->size();
   progress.last_sent = now;
   output_.send_now.push_back(std::move(message));
 }
 
-void Replica::on_snapshot_answer(const Message& message, TimePoint now) {
+void Replica::on_snapshot_response(const Message& message, TimePoint now) {
   const auto found = progress_.find(message.from);
   if (role_ != Role::kLeader || message.term != hard_state_.term || found == progress_.end()) {
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now;
+  progress.last_response = now;
   progress.confirmed_round = std::max(progress.confirmed_round, message.round);
   confirm_reads();
   if (!progress.sending_snapshot) {
@@ -165,17 +165,17 @@
     return;
   }
   if (message.log_term != log_.snapshot_index()) {
-    return;  // about a snapshot that a later one has replaced
+    return;  // the response is for a snapshot that has since been replaced
   }
-  // Only an answer that brings the transfer on makes the next piece go out at once. Were every answer to do
-  // so, messages that the network doubles would double for ever; what is lost goes out again with the next
+  // Only a response that advances the transfer triggers the next chunk at once. If every response did, a
+  // message duplicated by the network would be duplicated for ever. Lost chunks are resent with the next
   // heartbeat.
-  const bool brings_on = message.offset > progress.snapshot_offset;
-  if (brings_on || message.round == round_) {
+  const bool advances = message.offset > progress.snapshot_offset;
+  if (advances || message.round == round_) {
     progress.snapshot_offset = message.offset;
   }
-  if (brings_on) {
-    send_snapshot_piece(message.from, progress, now);
+  if (advances) {
+    send_snapshot_chunk(message.from, progress, now);
   }
 }
 
@@ -188,12 +188,12 @@
 
 void Replica::heartbeat(TimePoint now) {
   ++round_;
-  round_started_[round_] = now;
+  round_started_at_[round_] = now;
   next_heartbeat_ = now + options_.heartbeat_interval;
   for (auto& [member, progress] : progress_) {
-    const bool answers_stopped = now - progress.last_answer > options_.heartbeat_interval * 3;
-    if (answers_stopped && !progress.sending_snapshot) {
-      // What was under way may be lost: go back to what is known to match.
+    const bool stopped_responding = now - progress.last_response > options_.heartbeat_interval * 3;
+    if (stopped_responding && !progress.sending_snapshot) {
+      // Appends in flight may be lost: resume after the last entry known to match.
       progress.next = progress.match + 1;
       progress.inflight = 0;
       progress.probing = false;
@@ -204,17 +204,17 @@
   confirm_reads();
 }
 
-void Replica::on_append_answer(const Message& message, TimePoint now) {
+void Replica::on_append_response(const Message& message, TimePoint now) {
   const auto found = progress_.find(message.from);
   if (role_ != Role::kLeader || message.term != hard_state_.term || found == progress_.end()) {
     return;
   }
   Progress& progress = found->second;
-  progress.last_answer = now;
+  progress.last_response = now;
   progress.inflight -= progress.inflight > 0 ? 1 : 0;
   progress.confirmed_round = std::max(progress.confirmed_round, message.round);
   confirm_reads();
-  // As with snapshots, an answer that tells nothing new sends nothing.
+  // As with snapshots, a response without new information triggers no message.
   if (message.granted) {
     progress.probing = false;
     if (message.log_index <= progress.match) {
@@ -261,10 +261,10 @@
     return;
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
-  const uint64_t agreed = matches[quorum_size() - 1];
-  // Only an entry of the own term may be counted; it commits all before it.
-  if (agreed > commit_ && log_.term_at(agreed) == hard_state_.term) {
-    advance_commit_to(agreed);
+  const uint64_t quorum_match = matches[quorum_size() - 1];
+  // Only entries of the current term are committed by counting replicas; this commits all earlier ones.
+  if (quorum_match > commit_ && log_.term_at(quorum_match) == hard_state_.term) {
+    advance_commit_to(quorum_match);
   }
 }
 
@@ -292,10 +292,10 @@
   }
   std::sort(rounds.begin(), rounds.end(), std::greater<>());
   const uint64_t confirmed = rounds[quorum_size() - 1];
-  const auto started = round_started_.find(confirmed);
-  if (started != round_started_.end()) {
+  const auto started = round_started_at_.find(confirmed);
+  if (started != round_started_at_.end()) {
     quorum_confirmed_at_ = std::max(quorum_confirmed_at_, started->second);
-    round_started_.erase(round_started_.begin(), started);
+    round_started_at_.erase(round_started_at_.begin(), started);
   }
   while (!reads_.empty() && reads_.front().round <= confirmed) {
     output_.confirmed_reads.push_back(reads_.front().read_id);
@@ -304,25 +304,25 @@
 }
 
 void Replica::check_quorum(TimePoint now) {
-  size_t heard = 0;
+  size_t active = 0;
   for (const Member& member : members_.members) {
     if (!member.voter) {
       continue;
     }
     const bool self = member.id == options_.id;
-    heard += (self || now - progress_[member.id].last_answer < options_.election_timeout) ? 1 : 0;
+    active += (self || now - progress_[member.id].last_response < options_.election_timeout) ? 1 : 0;
   }
-  if (heard < quorum_size()) {
+  if (active < quorum_size()) {
     become_follower(hard_state_.term, 0, now);
   }
 }
 
-TimePoint Replica::last_answer_of(MemberId member) const {
+TimePoint Replica::last_response_of(MemberId member) const {
   const auto found = progress_.find(member);
-  return found == progress_.end() ? TimePoint(0) : found->second.last_answer;
+  return found == progress_.end() ? TimePoint(0) : found->second.last_response;
 }
 
-bool Replica::hand_over(TimePoint now) {
+bool Replica::transfer_leadership(TimePoint now) {
   if (role_ != Role::kLeader) {
     return false;
   }
@@ -342,7 +342,7 @@
     heartbeat(now);
     return false;
   }
-  output_.send_now.push_back(make_message(MessageKind::kElectNow, best));
+  output_.send_now.push_back(make_message(MessageKind::kTimeoutNow, best));
   return true;
 }
 
--- a/src/control/cache_mirror.cc
+++ b/src/control/cache_index.cc
@@ -1,4 +1,4 @@
-#include "src/control/cache_mirror.h"
+#include "src/control/cache_index.h"
 
 #include <algorithm>
 
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Shared parts remembered; beyond that all are forgotten, and told anew as routers see them.
-constexpr size_t kMaxShared = 200000;
+/// Maximum number of shared parts tracked. When there are more, all marks are dropped; parts are marked again
+/// as routers report them.
+constexpr size_t kMaxSharedParts = 200000;
 
 }  // namespace
 
-bool CacheMirror::apply(const std::string& follower, const fleet::CacheChanges& changes) {
+bool CacheIndex::apply(const std::string& follower, const fleet::CacheChanges& changes) {
   Cache& cache = caches_[changes.holder];
   const bool other = follower != cache.follower;
   if (changes.claim < cache.claim ||
@@ -21,60 +22,60 @@
   cache.follower = follower;
   cache.claim = changes.claim;
   cache.store = changes.store;
-  cache.followed = changes.followed;
+  cache.followed = changes.is_subscribed;
   cache.epoch = changes.epoch;
   cache.next_event = changes.next_event;
-  if (changes.anew) {
-    clear(changes.holder, cache);
+  if (changes.is_full_state) {
+    remove_parts(changes.holder, cache);
   }
-  for (const fleet::PartHolding& holding : changes.holdings) {
-    hold(changes.holder, cache, holding);
+  for (const fleet::CachedPart& holding : changes.holdings) {
+    set_holding(changes.holder, cache, holding);
   }
-  heads_.set(changes.holder, {changes.store, changes.followed});
+  statuses_.set(changes.holder, {changes.store, changes.is_subscribed});
   return true;
 }
 
-void CacheMirror::hold(const std::string& holder, Cache& cache, const fleet::PartHolding& holding) {
+void CacheIndex::set_holding(const std::string& holder, Cache& cache, const fleet::CachedPart& holding) {
   const auto known = cache.parts.find(holding.part);
   if (known != cache.parts.end() && holding.weights < known->second.weights) {
-    return;  // a store drops parts of old weights long after it got those of new ones
+    return;  // a store drops parts of old weights long after it received those of new weights
   }
   if (holding.tokens == 0) {
     cache.parts.erase(holding.part);
-    holdings_.erase({holder, holding.part});
-    forget_unshared(holder, holding.part);
+    shared_holdings_.erase({holder, holding.part});
+    remove_unshared_holder(holder, holding.part);
     return;
   }
   cache.parts[holding.part] = holding;
   if (shared(holding.part)) {
-    holdings_.set({holder, holding.part}, holding);
+    shared_holdings_.set({holder, holding.part}, holding);
   } else {
     unshared_holders_[holding.part].insert(holder);
   }
 }
 
-void CacheMirror::forget_unshared(const std::string& holder, uint64_t part) {
+void CacheIndex::remove_unshared_holder(const std::string& holder, uint64_t part) {
   const auto holders = unshared_holders_.find(part);
   if (holders != unshared_holders_.end() && holders->second.erase(holder) > 0 && holders->second.empty()) {
     unshared_holders_.erase(holders);
   }
 }
 
-void CacheMirror::clear(const std::string& holder, Cache& cache) {
+void CacheIndex::remove_parts(const std::string& holder, Cache& cache) {
   for (const auto& [part, holding] : cache.parts) {
-    holdings_.erase({holder, part});
-    forget_unshared(holder, part);
+    shared_holdings_.erase({holder, part});
+    remove_unshared_holder(holder, part);
   }
   cache.parts.clear();
 }
 
-std::vector<uint64_t> CacheMirror::note_shared(const std::vector<uint64_t>& parts) {
-  if (shared_.size() > kMaxShared) {
-    forget_shared();
+std::vector<uint64_t> CacheIndex::mark_shared(const std::vector<uint64_t>& parts) {
+  if (shared_parts_.size() > kMaxSharedParts) {
+    reset_shared_parts();
   }
   std::vector<uint64_t> added;
   for (const uint64_t part : parts) {
-    if (!shared_.insert(part).second) {
+    if (!shared_parts_.insert(part).second) {
       continue;
     }
     added.push_back(part);
@@ -83,81 +84,83 @@
       continue;
     }
     for (const std::string& holder : holders->second) {
-      holdings_.set({holder, part}, caches_.at(holder).parts.at(part));
+      shared_holdings_.set({holder, part}, caches_.at(holder).parts.at(part));
     }
     unshared_holders_.erase(holders);
   }
   return added;
 }
 
-void CacheMirror::forget_shared() {
-  shared_.clear();
+void CacheIndex::reset_shared_parts() {
+  shared_parts_.clear();
   for (auto& [holder, cache] : caches_) {
     if (cache.follower != self_) {
-      clear(holder, cache);  // its follower tells anew what is shared, and does not tell what it drops before
+      // The follower will report shared parts again once they are marked, but not what the cache drops before
+      // that. Its parts are therefore removed here.
+      remove_parts(holder, cache);
       continue;
     }
     for (const auto& [part, holding] : cache.parts) {
-      holdings_.erase({holder, part});
+      shared_holdings_.erase({holder, part});
       unshared_holders_[part].insert(holder);
     }
   }
 }
 
-bool CacheMirror::told(const fleet::ChainPlacement& placement) const {
+bool CacheIndex::is_published(const fleet::ChainPlacement& placement) const {
   const Cache* cache = find(placement.holder);
   if (cache == nullptr || !cache->followed) {
     return false;
   }
   return std::all_of(placement.links.begin(), placement.links.end(), [&](uint64_t part) {
-    const fleet::PartHolding* held = holdings_.find({placement.holder, part});
+    const fleet::CachedPart* held = shared_holdings_.find({placement.holder, part});
     return held != nullptr && held->weights >= placement.weights;
   });
 }
 
-void CacheMirror::lose_follower(const std::string& follower) {
+void CacheIndex::on_follower_lost(const std::string& follower) {
   for (auto& [holder, cache] : caches_) {
     if (cache.follower == follower && cache.followed) {
       cache.followed = false;
-      heads_.set(holder, {cache.store, false});
+      statuses_.set(holder, {cache.store, false});
     }
   }
 }
 
-void CacheMirror::drop(const std::string& holder) {
+void CacheIndex::drop(const std::string& holder) {
   const auto known = caches_.find(holder);
   if (known == caches_.end()) {
     return;
   }
-  clear(holder, known->second);
-  heads_.erase(holder);
+  remove_parts(holder, known->second);
+  statuses_.erase(holder);
   caches_.erase(known);
 }
 
-void CacheMirror::keep(const std::function<bool(const std::string&)>& wanted) {
-  std::vector<std::string> others;
+void CacheIndex::retain(const std::function<bool(const std::string&)>& wanted) {
+  std::vector<std::string> unwanted;
   for (const auto& [holder, cache] : caches_) {
     if (!wanted(holder)) {
-      others.push_back(holder);
+      unwanted.push_back(holder);
     }
   }
-  for (const std::string& holder : others) {
+  for (const std::string& holder : unwanted) {
     drop(holder);
   }
 }
 
-const CacheMirror::Cache* CacheMirror::find(const std::string& holder) const {
+const CacheIndex::Cache* CacheIndex::find(const std::string& holder) const {
   const auto found = caches_.find(holder);
   return found == caches_.end() ? nullptr : &found->second;
 }
 
-fleet::CacheChanges CacheMirror::whole(const std::string& holder) const {
+fleet::CacheChanges CacheIndex::full_contents(const std::string& holder) const {
   fleet::CacheChanges changes;
   changes.holder = holder;
-  changes.anew = true;
+  changes.is_full_state = true;
   if (const Cache* cache = find(holder)) {
     changes.store = cache->store;
-    changes.followed = cache->followed;
+    changes.is_subscribed = cache->followed;
     changes.claim = cache->claim;
     changes.epoch = cache->epoch;
     changes.next_event = cache->next_event;
@@ -168,7 +171,7 @@
   return changes;
 }
 
-std::vector<std::string> CacheMirror::followed_by(const std::string& follower) const {
+std::vector<std::string> CacheIndex::followed_by(const std::string& follower) const {
   std::vector<std::string> holders;
   for (const auto& [holder, cache] : caches_) {
     if (cache.follower == follower) {
--- a/src/control/fleet_engine_client.cc
+++ b/src/control/engine_client.cc
@@ -1,4 +1,4 @@
-#include "src/control/fleet_engine_client.h"
+#include "src/control/engine_client.h"
 
 #include "src/control/fleet_bodies.h"
 #include "src/fleet/incarnation.h"
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Engines answer within some milliseconds or not at all.
+/// Engines answer within a few milliseconds or not at all.
 constexpr Duration kOrderTimeout = 250ms;
 constexpr Duration kReportTimeout = 500ms;
-constexpr Duration kEventsWait = 1s;
+constexpr Duration kCacheEventsWait = 1s;
 
-OrderAnswer answer_of(const http::ClientResult& result) {
+OrderAnswer to_order_answer(const http::ClientResult& result) {
   switch (result.status) {
     case 200:
-      return OrderAnswer::kHoldsAlready;
+      return OrderAnswer::kAlreadyLoaded;
     case 202:
       return OrderAnswer::kTaken;
     case 409:
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void EngineClient::send(const VersionOrder& order, std::function<void(OrderAnswer)> on_answer) {
+void EngineClient::send(const LoadWeightsOrder& order, std::function<void(OrderAnswer)> on_answer) {
   http::ClientRequest request;
   if (!parse_endpoint(order.address, request.endpoint)) {
     on_answer(OrderAnswer::kRefused);
@@ -41,15 +41,16 @@
   request.path = interface_.paths.order;
   request.headers = {{"Content-Type", "application/json"},
                      {interface_.expected_backend_header, std::string(fleet::backend_name(order.engine))}};
-  request.body = order_body(order, interface_.bodies);
+  request.body = weight_order_body(order, interface_.field_names);
   request.timeout = kOrderTimeout;
   request.fresh_connection = true;
   client_.start(request, nullptr, [on_answer = std::move(on_answer)](const http::ClientResult& result) {
-    on_answer(answer_of(result));
+    on_answer(to_order_answer(result));
   });
 }
 
-void EngineClient::ask(const std::string& address, std::function<void(const EngineReport*)> on_report) {
+void EngineClient::request_report(const std::string& address,
+                                  std::function<void(const EngineReport*)> on_report) {
   http::ClientRequest request;
   if (!parse_endpoint(address, request.endpoint)) {
     on_report(nullptr);
@@ -59,25 +60,26 @@
   request.timeout = kReportTimeout;
   client_.start(request, nullptr, [this, on_report = std::move(on_report)](const http::ClientResult& result) {
     constexpr int kOk = 200;
-    const auto report = result.status == kOk ? read_report(result.body, interface_.bodies) : std::nullopt;
+    const auto report =
+        result.status == kOk ? read_report(result.body, interface_.field_names) : std::nullopt;
     on_report(report ? &*report : nullptr);
   });
 }
 
-void EngineClient::follow_cache(const std::string& address, uint64_t since,
-                                std::function<void(const CacheEvents*)> on_events) {
+void EngineClient::poll_cache_events(const std::string& address, uint64_t since,
+                                     std::function<void(const CacheEvents*)> on_events) {
   http::ClientRequest request;
   if (!parse_endpoint(address, request.endpoint)) {
     on_events(nullptr);
     return;
   }
   request.path = interface_.paths.cache_events + "?since=" + std::to_string(since);
-  request.headers = {{interface_.wait_header, std::to_string(to_milliseconds(kEventsWait))}};
-  request.timeout = kEventsWait + kReportTimeout;
+  request.headers = {{interface_.wait_header, std::to_string(to_milliseconds(kCacheEventsWait))}};
+  request.timeout = kCacheEventsWait + kReportTimeout;
   client_.start(request, nullptr, [this, on_events = std::move(on_events)](const http::ClientResult& result) {
     constexpr int kOk = 200;
     const auto events =
-        result.status == kOk ? read_cache_events(result.body, interface_.bodies) : std::nullopt;
+        result.status == kOk ? read_cache_events(result.body, interface_.field_names) : std::nullopt;
     on_events(events ? &*events : nullptr);
   });
 }
--- a/src/control/state_machine.cc
+++ b/src/control/state_machine.cc
@@ -6,23 +6,23 @@
 
 CommandResult StateMachine::apply(const Command& command) {
   if (const auto* start = std::get_if<fleet::StartServiceRollout>(&command.value)) {
-    return apply_start(*start);
+    return apply_rollout_start(*start);
   }
   std::visit([this](const auto& fleet_command) { fleet_.apply(fleet_command); }, command.value);
   return {};
 }
 
-CommandResult StateMachine::apply_start(const fleet::StartServiceRollout& start) {
+CommandResult StateMachine::apply_rollout_start(const fleet::StartServiceRollout& start) {
   CommandResult result;
   switch (fleet_.apply(start)) {
-    case fleet::RolloutVerdict::kTaken:
+    case fleet::RolloutOrderResult::kAccepted:
       break;
-    case fleet::RolloutVerdict::kUnknownService:
+    case fleet::RolloutOrderResult::kUnknownService:
       result.code = ResultCode::kInvalid;
       result.message = "service: '" + start.service + "' is no service with back ends";
       break;
-    case fleet::RolloutVerdict::kUnderWay:
-      result.code = ResultCode::kUnderWay;
+    case fleet::RolloutOrderResult::kRolloutInProgress:
+      result.code = ResultCode::kRolloutInProgress;
       result.message =
           "a rollout to '" + fleet_.rollouts().at(start.service).target_version + "' is under way";
       break;
--- /dev/null
+++ b/src/dispatch/active_request.h
@@ -0,0 +1,418 @@
+/// Handles one caller request from acceptance to its single final response: chooses a backend, sends the
+/// request, relays the response, and retries where that is allowed.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+
+#include "src/admission/backend_limits.h"
+#include "src/admission/crash_history.h"
+#include "src/admission/load_admission.h"
+#include "src/admission/quota_enforcer.h"
+#include "src/admission/request_queue.h"
+#include "src/admission/retry_scheduler.h"
+#include "src/common/log.h"
+#include "src/common/metrics.h"
+#include "src/common/random.h"
+#include "src/delivery/event_splitter.h"
+#include "src/delivery/retry_budget.h"
+#include "src/dispatch/backend_pool.h"
+#include "src/dispatch/request_fields.h"
+#include "src/dispatch/store_set.h"
+#include "src/edge/edge_request.h"
+#include "src/events/request_event_log.h"
+#include "src/events/request_events.h"
+#include "src/fleet/fleet_messages.h"
+#include "src/fleet/version_history.h"
+#include "src/placement/cache_namespace.h"
+#include "src/placement/nearest_placement.h"
+#include "src/rollout/answer_counter.h"
+#include "src/rollout/service_versions.h"
+#include "src/routing/route_table.h"
+#include "src/topology/topology.h"
+
+struct event;
+
+namespace stoat::dispatch {
+
+/// HTTP statuses used by the request path. kFirstErrorStatus: this and higher statuses are not successes.
+inline constexpr int kFirstErrorStatus = 300;
+inline constexpr int kBadGateway = 502;
+inline constexpr int kUnavailable = 503;
+/// Urgencies sent to engines range from 0, the most urgent, to kMaxUrgency. A request's urgency is its
+/// tenant's priority times kRoutePriorities plus its route's priority, so the tenant's priority dominates.
+inline constexpr uint32_t kMaxUrgency = 9;
+inline constexpr uint32_t kRoutePriorities = 3;
+
+/// Number of backends that a request is placed among. Large enough to serve a prompt prefix shared by a
+/// tenth of a large fleet's requests, while a router's work per request does not grow with the fleet.
+inline constexpr size_t kSubsetSize = 256;
+/// Factor by which the subset is enlarged while none of its backends has a free slot.
+inline constexpr size_t kSubsetGrowthFactor = 4;
+
+/// Formats the value of a Retry-After header: seconds with two decimals.
+std::string retry_after_text(double seconds);
+
+/// State and callbacks shared by all requests of a router.
+struct DispatchContext {
+  EventLoop& loop;
+  const HeaderNames& names;
+  BackendPool& pool;
+  Metrics& metrics;
+  events::RequestLogSampler& request_log_sampler;
+  Random random{0};
+  topology::Topology topology = {};
+  topology::Location place = {};  ///< location of this router
+  uint32_t router_count = 1;
+  delivery::RouterCountEstimate router_count_estimate{10s};  ///< of those that share the budgets' fixed part
+  /// Engines with older weights are no longer used after this time since the newer version was announced.
+  Duration old_weights_timeout = 6s;
+  delivery::RetryBudgetOptions budget_options = {};
+  std::map<std::string, delivery::RetryBudget> budgets = {};  ///< retry budgets by service
+  fleet::TargetWeights announced_weights = {};                ///< announced weights versions by model
+  StoreSet stores = {};
+  /// Announces to the other routers which engine or store holds the KV cache of a prompt chain.
+  std::function<void(fleet::ChainPlacement)> announce_placement = [](const fleet::ChainPlacement&) {};
+  /// Reports to the control plane that a backend could not be reached.
+  std::function<void(const std::string&)> report_unreachable = [](const std::string&) {};
+  /// Confirms as crashes the broken exchanges at a backend that ended without deregistering. `sign` names
+  /// how this was detected: "refused", "gone" or "lost".
+  std::function<void(Backend&, const char* sign)> note_crash = [](Backend&, const char*) {};
+  placement::PlacementCosts costs = {};
+  std::map<std::string, placement::ServiceSpeed> speeds = {};             ///< by service
+  std::map<std::string, admission::RequestQueue> queues = {};             ///< by service
+  std::map<std::string, admission::RetryScheduler> retry_schedules = {};  ///< by service
+  admission::AdmissionThresholds admission_thresholds = {};
+  Duration max_retry_after = 10s;  ///< upper limit of the Retry-After of requests refused for load
+  std::map<std::string, placement::CallDuration> call_times =
+      {};  ///< of requests without a prompt, by service
+  admission::QuotaEnforcer quotas{{}, 0};
+  /// End of the start-up phase, in which a service without known backends may still have some.
+  TimePoint startup_ends_at{0};
+  admission::BackendLimits limits = {};
+  /// Asks the control plane for the permits that requests need (see BackendLimits::note_unmet_request).
+  std::function<void()> request_permits = [] {};
+  admission::CrashHistory crashes{};
+  /// Logs that the crash history of a request has changed. `request`: its fingerprint. `source`: the cause.
+  std::function<void(uint64_t request, const char* source)> log_standing_change = [](uint64_t, const char*) {
+  };
+  rollout::ServiceVersions versions = {};
+  rollout::AnswerCounter answers = {};  ///< responses of services with a rollout in progress
+
+  delivery::RetryBudget& budget_of(const std::string& service) {
+    return budgets.try_emplace(service, budget_options).first->second;
+  }
+};
+
+/// Marks the broken exchanges at a backend that precede `sent_at` as survived. Called when the backend has
+/// begun to respond to a request sent at that time.
+void note_survival(DispatchContext& context, Backend& backend, TimePoint sent_at);
+
+/// An accepted request with its resolved route, tenant and service: all that is fixed before it is sent.
+struct RoutedRequest {
+  edge::EdgeRequest request;
+  RequestFields fields;
+  std::shared_ptr<const routing::RouteTable> table;  ///< keeps route and tenant alive
+  const fleet::Route* route = nullptr;
+  const fleet::Tenant* tenant = nullptr;  ///< nullptr on open routes
+  std::string service;
+  TimePoint arrived{0};
+  int64_t quota_cost = 0;  ///< amount charged to its tenant's quota, in the quota's unit
+
+  /// Owner of the KV cache namespace that the request uses: an isolated tenant, or the one shared by all
+  /// others.
+  std::string cache_owner() const {
+    const bool isolated = tenant != nullptr && tenant->isolated;
+    return isolated ? placement::owner_of_tenant(tenant->name) : placement::shared_owner();
+  }
+};
+
+/// KV cache transfers of one attempt: where its engine loads cache from and where it stores what it has
+/// prefilled. Addresses; empty: none.
+struct CachePlan {
+  std::string source = {};               ///< engine or store to load from
+  std::string target = {};               ///< store to write to
+  std::string backup = {};               ///< engine that receives a backup of the run's KV cache
+  std::string resume_from = {};          ///< ADDRESS/REQUEST_ID of the failed run to resume from its backup
+  uint32_t candidates = 1;               ///< number of engines that it was placed among, for the log
+  topology::Location source_place = {};  ///< location of `source`; meaningless without one
+};
+
+/// Forecast of the first event of an attempt, and its inputs, as of the time of sending.
+struct ExpectedFirstEvent {
+  placement::FirstEventForecast forecast;
+  uint64_t waiting_tokens = 0;  ///< prompt tokens of other requests waiting at the engine
+  uint64_t own_tokens = 0;      ///< prompt tokens of this request not cached there
+  bool slot_free = false;
+  bool moves_cache = false;  ///< the engine loads KV cache from elsewhere
+};
+
+/// One caller request in progress, with the exchange of its current attempt. Lives until its final response
+/// or the caller's disconnect; on_done is then called.
+class ActiveRequest : public ExchangeListener, public std::enable_shared_from_this<ActiveRequest> {
+ public:
+  using DoneHandler = std::function<void(ActiveRequest*)>;
+  ActiveRequest(DispatchContext& context, RoutedRequest plan, std::shared_ptr<edge::ResponseWriter> answer,
+                DoneHandler on_done);
+  ~ActiveRequest() override;
+  ActiveRequest(const ActiveRequest&) = delete;
+  ActiveRequest& operator=(const ActiveRequest&) = delete;
+
+  void start();
+  /// Ends the request without a response, for instance when the caller has disconnected, and cancels it at
+  /// the engine. `reason`: outcome for the log.
+  void cancel(const char* reason);
+  const edge::ResponseWriter* answer() const { return answer_.get(); }
+  /// Probes the backend if it has sent nothing for kSilenceBeforeProbe, and fails the exchange if such a
+  /// probe found it unreachable. To be called several times a second.
+  void check_silence();
+
+  void on_response_head(int status, const http1::Headers& headers) override;
+  void on_response_body(std::string_view piece) override;
+  void on_response_complete() override;
+  void on_exchange_failure(ExchangeFailure failure) override;
+
+ private:
+  /// Whether any engine may have executed the request.
+  enum class Executed : uint8_t { kNo, kMaybe };
+  /// How a response is handled: kNotRun says that the request was not executed; kInvalid lacks the engine's
+  /// signature header.
+  enum class ResponseKind : uint8_t { kNone, kBuffered, kEventStream, kNotRun, kInvalid };
+
+  void arm_timer(TimePoint at);
+  void on_timer();
+  void try_dispatch();
+  /// Latest time until which it may wait for a backend, or for a slot at one.
+  TimePoint wait_limit() const;
+  /// Schedules another try_dispatch() after kBackendPollInterval.
+  void schedule_poll();
+  void log_waiting();
+  /// Backends that could execute the request.
+  struct Candidates {
+    std::vector<BackendPtr> usable;
+    std::vector<BackendPtr> unhealthy;    ///< used only if none is usable
+    std::vector<BackendPtr> limited;      ///< usable except for their rate limit
+    std::vector<BackendPtr> backing_off;  ///< usable except that they asked for no requests for a while
+    /// The usable backends, or the unhealthy ones if there are none.
+    const std::vector<BackendPtr>& best_available() const { return usable.empty() ? unhealthy : usable; }
+  };
+  /// Searches a subset of the service's backends, and enlarges it while none in it has a free slot.
+  Candidates find_candidates() const;
+  /// Backends that the request may be sent to now.
+  std::vector<BackendPtr> candidates() const { return find_candidates().best_available(); }
+  /// Sorts backends into `candidates` by whether they may get the request; drops those that may not.
+  void classify_candidates(const std::vector<BackendPtr>& considered, Candidates& candidates) const;
+  /// Asks for permits for rate-limited backends that the request could be sent to.
+  void request_candidate_permits(const Candidates& found);
+  /// Earliest time at which one of these backends may be sent to; nullopt: the control plane has not
+  /// answered.
+  std::optional<TimePoint> earliest_permit_time(const std::vector<std::string>& limited) const;
+  /// Lets the request wait for a permit for one of these, or refuses it with `reason` if none comes in time.
+  void wait_for_permit(const std::vector<std::string>& limited, const char* reason);
+  // request_crashes.cc: requests under which backends crash
+  /// True if the request may not be sent now because backends crashed under it. It then waits for a trial
+  /// permit, or has been refused.
+  bool blocked_by_crashes();
+  /// For a suspect: returns false if it may be sent now, else lets it wait for a trial permit.
+  bool wait_for_trial();
+  void refuse_for_crashes(const admission::StandingReason& reason);
+  /// True if enough backends crashed under the request that it is a suspect: it is sent to one backend at a
+  /// time, and not retried after a failure.
+  bool suspected() const;
+  /// Uses the trial permit of a suspect that is being sent.
+  void spend_trial();
+  /// Returns the permit used by the current attempt if the request did not reach its backend.
+  void return_trial_permit();
+  /// Records that the exchange broke off at a backend, which may have crashed.
+  void note_broken_exchange(const BackendPtr& backend);
+  /// Clears the request of earlier crashes, since it has now completed.
+  void clear_crash_suspicion();
+  /// Key of the request's subset of the service: the hash of the shareable part of its prompt, or of the
+  /// request id if it has no prompt.
+  uint64_t subset_key() const;
+  /// Ready and draining backends of the subset, whose KV cache may be loaded. `candidates`: minimum size of
+  /// the subset.
+  std::vector<BackendPtr> cache_sources_in_subset(size_t candidates) const;
+  /// Ready backends of the subset.
+  std::vector<BackendPtr> ready_in_subset() const;
+  placement::EngineView view_of(const Backend& backend, double mean_others_outstanding) const;
+  /// The known load of a backend. `mean_others_outstanding`: see EngineQueue.
+  placement::EngineQueue queue_of(const Backend& backend, double mean_others_outstanding) const;
+  /// Mean number of other routers' requests per ready backend of the subset.
+  double mean_others_outstanding() const;
+  /// Records the forecast for the attempt that is about to be sent.
+  void expect_first_event(double mean_others_outstanding);
+  /// Updates the latency model with the first event from backend_.
+  void observe_first_event_latency();
+  /// Updates the latency model with how long the completed run at backend_ occupied a slot.
+  void observe_run_time() const;
+  /// Keeps those backends whose software version the request is to go to.
+  std::vector<BackendPtr> filter_by_version(std::vector<BackendPtr> found) const;
+  /// Counts the attempt at backend_ while its service has a rollout in progress. The three functions after
+  /// this one count its outcome.
+  void record_rollout_send();
+  void record_rollout_first_event();
+  void record_rollout_end(rollout::SendOutcome end);
+  void record_rollout_failure(ExchangeFailure failure);
+  /// Decides whether the request is in the share sent to the version on trial (the canary).
+  void sample_for_trial();
+  /// True if the software versions of both backends allow the run at `origin` to resume from its backup at
+  /// `backup_engine`.
+  bool may_resume_at(const Backend& backup_engine, const Backend& origin) const;
+  /// How long the weights of a backend have been out of date; nullopt if they are current.
+  std::optional<Duration> outdated_for(const Backend& backend) const;
+  uint32_t urgency() const;
+  admission::RequestTimes times() const;
+  /// Expected waiting and response times at the candidates; empty if any of them has a free slot.
+  admission::ServiceOutlook outlook(const std::vector<BackendPtr>& candidates) const;
+  /// True if admission control would send the request to a current candidate now.
+  bool has_room() const;
+  /// Sends it, lets it wait for a slot, or refuses it. There is at least one candidate.
+  void admit(const std::vector<BackendPtr>& candidates);
+  void wait_for_slot(const admission::ServiceOutlook& known);
+  void leave_queue();
+  void refuse_for_load(const admission::ServiceOutlook& known);
+  /// Time after which a refused caller should retry. `wait`: expected time until an engine has room.
+  Duration compute_retry_after(Duration wait);
+  /// Chooses one of the candidates, of which there is at least one, and sends the request there.
+  void dispatch(const std::vector<BackendPtr>& candidates);
+  /// Sends the request on an idle or a new connection. `mean_others_outstanding`: see EngineQueue.
+  void send_to(const BackendPtr& backend, CachePlan cache, double mean_others_outstanding);
+  /// Adds the prompt tokens that the engine has to prefill for this request to its pending ones.
+  void add_pending_prefill(const CachePlan& cache);
+  /// Records that the engine, and the store that it writes to, now hold the prompt's shared parts, and
+  /// announces it to the other routers.
+  void note_prompt_cached();
+  /// True if a backend can hold the backup of a run, or resume from it.
+  bool may_hold_backup(const Backend& backend) const;
+  /// The engine for the backup of a run at `target`; nullptr if the route or service makes none, or none
+  /// fits.
+  BackendPtr choose_backup(const Backend& target) const;
+  /// Why the run at `origin` can't resume from its backup; nullptr if it can.
+  const char* backup_unusable_reason(const Backend& origin) const;
+  /// Resumes the run from its backup after the engine at `origin` failed. False if it can't.
+  bool resume_from_backup(const Backend& origin);
+  /// Chooses the engine for a request without a prompt.
+  const BackendPtr& choose_without_prompt(const std::vector<BackendPtr>& candidates,
+                                          const std::vector<placement::EngineView>& views);
+  /// Plans the KV cache transfers of an attempt at `target`. `holder`: the engine to load from, or nullptr;
+  /// `store`: the store of the prompt chain, or nullptr. `worth_taking_from_store`: loading the shared parts
+  /// from the store is expected to be faster than prefilling them.
+  CachePlan plan_cache(const Backend& target, const Backend* holder, const CacheStore* store,
+                       bool worth_taking_from_store) const;
+  /// Location of a store; if it is not configured, a zone of its own.
+  topology::Location place_of_store(const std::string& address) const;
+  /// Counts the network distances of the attempt and of its KV cache source, and adds them to the log event.
+  void note_distances(const Backend& target, const CachePlan& cache, events::RequestSent& sent) const;
+  /// Updates the service's call time with a completed request without a prompt.
+  void observe_call_time();
+  std::string request_head(const Backend& backend, const CachePlan& cache, TimePoint now) const;
+  /// True for headers that the router sets itself or withholds from engines: they are not copied from the
+  /// caller's request.
+  bool is_router_header(const std::string& name) const;
+  /// Why the request may not be retried; nullptr if it may. A retry is then charged to the retry budget,
+  /// unless the request never reached a backend. `known_not_executed`: the last backend is known not to
+  /// have executed it.
+  const char* retry_denial_reason(bool known_not_executed);
+  /// See retry_denial_reason(); logs the reason if the request may not be retried.
+  bool may_retry(bool known_not_executed);
+  /// True if the response was later, or paused longer, than the objectives of its route.
+  bool missed_objective(TimePoint now) const;
+  /// Retries or fails a request that was not executed. `delivered`: the backend received and refused it;
+  /// else no connection was made.
+  void on_not_run(bool delivered);
+  /// Detaches from backend_ and its connection, which is kept for reuse or closed.
+  void finish_exchange(bool keep_connection);
+  /// Pauses or resumes reading the response, following the caller's reading speed.
+  void on_flow_control(bool paused);
+  /// Records that the backend has sent data.
+  void note_activity();
+  /// Removes this request's tokens from the pending prefill of backend_.
+  void release_pending_prefill();
+  /// Takes a newer weights version of the backend from the response head.
+  void note_weights(const http1::Headers& headers);
+  /// Uses a permit of the backend that the request is sent to, if it has a rate limit.
+  void spend_permit(const Backend& backend);
+  /// Applies the rate limit stated in the response head, or its removal.
+  void note_rate_limit(const http1::Headers& headers);
+  /// Marks the backend as draining if the response head says that it is shutting down.
+  void note_leaving(const http1::Headers& headers);
+  /// Applies the Retry-After of a backend that refused the request with 503.
+  void apply_backoff(const http1::Headers& headers);
+  /// Lets the request wait for the first of these backends whose backoff ends, or refuses it if that is too
+  /// late.
+  void wait_for_backoff(const std::vector<BackendPtr>& backing_off);
+  /// Sends an event to the caller unless the caller already has it.
+  void forward_event(const delivery::StreamEvent& event);
+  /// Relays a complete buffered response, or retries after a server error.
+  void finish_buffered_response();
+  /// Ends the request with a response made by the router. `retry_after_s`: 0: no Retry-After header.
+  void reply_with_error(int status, const char* reason, double retry_after_s);
+  /// Ends the request with the error response that fits its state, or aborts a response that has begun.
+  void fail_request(const char* reason);
+  /// Ends a request whose response has begun by closing the caller's stream.
+  void abort_stream(const char* reason);
+  /// Records the latency metrics of the finished request.
+  void observe(bool success, TimePoint now) const;
+  /// Charges the quota for an attempt after one that may have been executed; the first attempt was charged at
+  /// admission.
+  void charge_retry();
+  /// Refunds the quota charge if no engine can have executed the request.
+  void refund_quota();
+  /// Records the outcome in log and metrics, and calls on_done.
+  void finish_request(const char* outcome, int status);
+
+  DispatchContext& context_;
+  RoutedRequest plan_;
+  std::shared_ptr<edge::ResponseWriter> answer_;
+  DoneHandler on_done_;
+  event* timer_ = nullptr;
+  TimePoint deadline_{0};       ///< the caller's deadline or the route's time-out
+  TimePoint wait_deadline_{0};  ///< see wait_limit()
+  bool waiting_ = false;
+  uint64_t queue_number_ = 0;  ///< entry in the service's RequestQueue; 0: not queued
+  TimePoint queued_at_{0};
+  bool finished_ = false;
+  Executed executed_ = Executed::kNo;
+  bool outcome_unknown_ = false;  ///< the last attempt may have been executed, or may yet be
+  bool delivered_ = true;         ///< the last backend that did not execute it had received it
+  uint32_t runs_ = 0;             ///< engines that may have executed it
+  uint32_t refusals_ = 0;         ///< engines that stated that they did not execute it
+  std::set<std::string> tried_;
+  bool in_trial_sample_ = false;                         ///< it goes to the version on trial
+  std::optional<rollout::CountedRequest> rollout_send_;  ///< of the exchange at backend_
+  placement::PromptChain chain_;
+  const uint64_t fingerprint_;  ///< see request_fingerprint()
+
+  BackendPtr backend_;
+  BackendPtr backup_;                 ///< holds the backup of the run at backend_
+  bool resumed_from_backup_ = false;  ///< the run at backend_ was resumed from a backup
+  uint64_t run_weights_ = 0;          ///< version of the weights that the run began with
+  std::shared_ptr<BackendConnection> connection_;
+  std::string store_target_;    ///< address of the store to which the engine at backend_ writes KV cache
+  TimePoint last_activity_{0};  ///< when the request was sent to backend_, or last got data from it
+  bool first_event_received_ = false;  ///< from the run at backend_
+  /// When a request without a prompt was sent to an engine with a free slot; else nullopt.
+  std::optional<TimePoint> call_sent_at_;
+  uint64_t pending_prefill_tokens_ = 0;  ///< counted in backend_->prefill_tokens until the first event
+  uint64_t moved_tokens_ = 0;  ///< prompt tokens whose KV cache backend_ is expected to load from elsewhere
+  TimePoint sent_at_{0};       ///< when the exchange at backend_ began
+  std::optional<ExpectedFirstEvent> expected_;  ///< for the last attempt
+  ResponseKind kind_ = ResponseKind::kNone;
+  edge::ResponseHead head_;
+  std::string body_;
+  delivery::EventSplitter splitter_;
+  bool trial_permit_used_ = false;        ///< the current attempt used a permit and has not returned it
+  bool paused_ = false;                   ///< the caller reads too slowly; the backend is not read
+  bool streaming_ = false;                ///< the response head has been sent to the caller
+  std::optional<int64_t> last_event_id_;  ///< of the last event that the caller has
+  TimePoint first_event_at_{0};
+  TimePoint last_event_at_{0};
+  Duration longest_pause_{0};
+  events::RequestEventLog event_log_;
+};
+
+}  // namespace stoat::dispatch
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -1,57 +1,58 @@
-/// RequestRun: which back ends a request may be sent to, out of the cell of its service.
+/// ActiveRequest: selects the backends that a request may be sent to from its subset of the service.
 #include <algorithm>
 
 #include "src/common/hash.h"
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
-std::optional<Duration> RequestRun::outdated_for(const Backend& backend) const {
-  // Each version has its own limit: the lowest one above counts, however soon others followed.
-  const auto wanted = context_.wanted.find(plan_.fields.model);
-  if (wanted == context_.wanted.end()) {
+std::optional<Duration> ActiveRequest::outdated_for(const Backend& backend) const {
+  // The age counts from the announcement of the lowest newer version, however soon later ones followed.
+  const auto wanted = context_.announced_weights.find(plan_.fields.model);
+  if (wanted == context_.announced_weights.end()) {
     return std::nullopt;
   }
   return wanted->second.outdated_for(backend.record.version_of(plan_.fields.model), context_.loop.now());
 }
 
-RequestRun::Candidates RequestRun::find_candidates() const {
+ActiveRequest::Candidates ActiveRequest::find_candidates() const {
   const size_t known = context_.pool.count(plan_.service);
   const auto free = [](const BackendPtr& backend) { return backend->has_free_slot(); };
-  // The back ends of a version on trial are few, and drawn from all.
+  // The sample of a version on trial is small, and drawn from all backends of the service.
   const bool on_trial = context_.versions.find(plan_.service) != nullptr;
-  for (size_t size = on_trial ? known : kCellSize;; size *= kCellGrowth) {
+  for (size_t size = on_trial ? known : kSubsetSize;; size *= kSubsetGrowthFactor) {
     Candidates found;
-    const auto cell = context_.pool.cell(plan_.service, cell_key(), size);
-    sort_candidates(of_wanted_version(cell), found);
+    const auto subset = context_.pool.subset(plan_.service, subset_key(), size);
+    classify_candidates(filter_by_version(subset), found);
     if (size >= known || std::any_of(found.usable.begin(), found.usable.end(), free)) {
       return found;
     }
   }
 }
 
-uint64_t RequestRun::cell_key() const {
+uint64_t ActiveRequest::subset_key() const {
   return chain_.links.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
 }
 
-std::vector<BackendPtr> RequestRun::present_in_cell(size_t candidates) const {
-  return context_.pool.cell(plan_.service, cell_key(), std::max(kCellSize, candidates),
-                            fleet::BackendState::kDraining);
+std::vector<BackendPtr> ActiveRequest::cache_sources_in_subset(size_t candidates) const {
+  return context_.pool.subset(plan_.service, subset_key(), std::max(kSubsetSize, candidates),
+                              fleet::BackendState::kDraining);
 }
 
-std::vector<BackendPtr> RequestRun::serving_in_cell() const {
-  return context_.pool.cell(plan_.service, cell_key(), kCellSize);
+std::vector<BackendPtr> ActiveRequest::ready_in_subset() const {
+  return context_.pool.subset(plan_.service, subset_key(), kSubsetSize);
 }
 
-void RequestRun::sort_candidates(const std::vector<BackendPtr>& among, Candidates& candidates) const {
+void ActiveRequest::classify_candidates(const std::vector<BackendPtr>& considered,
+                                        Candidates& candidates) const {
   const fleet::Service* service = plan_.table->service(plan_.service);
   const TimePoint now = context_.loop.now();
-  for (const BackendPtr& backend : among) {
+  for (const BackendPtr& backend : considered) {
     const fleet::BackendRecord& record = backend->record;
     if (record.loading || tried_.count(record.id) > 0) {
       continue;
     }
-    if (outdated_for(*backend).value_or(Duration(0)) > context_.old_weights_limit) {
+    if (outdated_for(*backend).value_or(Duration(0)) > context_.old_weights_timeout) {
       continue;
     }
     if (service != nullptr && service->connection_limit > 0 && backend->idle.empty() &&
@@ -60,20 +61,20 @@
       continue;
     }
     const bool sound = context_.pool.is_sound(*backend);
-    if (!backend->rest.may_send(backend->outstanding, now)) {
+    if (!backend->backoff.may_send(backend->outstanding, now)) {
       if (sound) {
-        candidates.resting.push_back(backend);
+        candidates.backing_off.push_back(backend);
       }
       continue;
     }
-    // The limit holds for all routers together, which only the leader of control can see.
+    // The limit applies to all routers together, so permits come from the leader of the control plane.
     if (!context_.limits.may_send(record.id, now)) {
       if (sound) {
         candidates.limited.push_back(backend);
       }
       continue;
     }
-    (sound ? candidates.usable : candidates.doubtful).push_back(backend);
+    (sound ? candidates.usable : candidates.unhealthy).push_back(backend);
   }
 }
 
--- a/src/dispatch/request_end.cc
+++ b/src/dispatch/request_end.cc
@@ -1,18 +1,18 @@
-/// RequestRun: the end of a request, and what is told of it.
+/// ActiveRequest: ends a request, and records its outcome.
 #include <event2/event.h>
 
 #include <cmath>
 #include <cstdio>
 
-#include "src/dispatch/request_run.h"
+#include "src/dispatch/active_request.h"
 
 namespace stoat::dispatch {
 
 namespace {
 
 constexpr int kGatewayTimeout = 504;
-/// A request of a service of which no back end is known is told to come back after so long: heartbeats come
-/// every second or so.
+/// Retry-After, in seconds, when no backend of the service is known: backends send a heartbeat about every
+/// second.
 constexpr double kNoBackendRetryAfterS = 1.5;
 
 }  // namespace
@@ -23,33 +23,33 @@
   return text;
 }
 
-void RequestRun::give_up(const char* reason) {
+void ActiveRequest::fail_request(const char* reason) {
   if (finished_) {
     return;
   }
-  const bool at_work = backend_ != nullptr;
-  if (at_work) {
-    count_end(rollout::SendEnd::kTimedOut);
-    end_exchange(false);
+  const bool in_flight = backend_ != nullptr;
+  if (in_flight) {
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
+    finish_exchange(false);
   }
   if (streaming_) {
-    break_off(reason);
+    abort_stream(reason);
     return;
   }
-  if (at_work) {
-    reply_own(kGatewayTimeout, reason, 0);
-  } else if (ran_ == Ran::kMaybe) {
-    reply_own(kBadGateway, reason, 0);
+  if (in_flight) {
+    reply_with_error(kGatewayTimeout, reason, 0);
+  } else if (executed_ == Executed::kMaybe) {
+    reply_with_error(kBadGateway, reason, 0);
   } else {
-    const std::vector<BackendPtr> serving = serving_in_cell();
+    const std::vector<BackendPtr> serving = ready_in_subset();
     const double retry_after_s =
-        serving.empty() ? kNoBackendRetryAfterS : to_seconds(return_after(outlook(serving).wait));
-    reply_own(kUnavailable, reason, retry_after_s);
+        serving.empty() ? kNoBackendRetryAfterS : to_seconds(compute_retry_after(outlook(serving).wait));
+    reply_with_error(kUnavailable, reason, retry_after_s);
   }
 }
 
-void RequestRun::reply_own(int status, const char* reason, double retry_after_s) {
-  edge::AnswerHead head;
+void ActiveRequest::reply_with_error(int status, const char* reason, double retry_after_s) {
+  edge::ResponseHead head;
   head.status = status;
   head.headers.add(context_.names.request_id, plan_.fields.id);
   head.headers.add("Content-Type", "text/plain");
@@ -57,27 +57,27 @@
     head.headers.add("Retry-After", retry_after_text(retry_after_s));
   }
   answer_->reply(head, std::string(reason) + "\n");
-  done(reason, status);
+  finish_request(reason, status);
 }
 
-void RequestRun::break_off(const char* reason) {
+void ActiveRequest::abort_stream(const char* reason) {
   if (backend_ != nullptr) {
-    count_end(rollout::SendEnd::kTimedOut);
-    end_exchange(false);
+    record_rollout_end(rollout::SendOutcome::kTimedOut);
+    finish_exchange(false);
   }
   answer_->abort();
-  done(reason, 0);
+  finish_request(reason, 0);
 }
 
-void RequestRun::cancel(const char* reason) {
+void ActiveRequest::cancel(const char* reason) {
   if (backend_ != nullptr) {
-    count_end(rollout::SendEnd::kAbandoned);
-    end_exchange(false);
+    record_rollout_end(rollout::SendOutcome::kAbandoned);
+    finish_exchange(false);
   }
-  done(reason, 0);
+  finish_request(reason, 0);
 }
 
-bool RequestRun::late(TimePoint now) const {
+bool ActiveRequest::missed_objective(TimePoint now) const {
   const fleet::Route& route = *plan_.route;
   const TimePoint answered = first_event_at_ > TimePoint(0) ? first_event_at_ : now;
   const bool paused = route.gap_target_ms > 0 && longest_pause_ > Duration(1000 * route.gap_target_ms);
@@ -85,7 +85,7 @@
          (route.target_latency_ms > 0 && answered - plan_.arrived > Duration(1000 * route.target_latency_ms));
 }
 
-void RequestRun::observe(bool success, TimePoint now) const {
+void ActiveRequest::observe(bool success, TimePoint now) const {
   constexpr double kMicrosecondsPerSecond = 1e6;
   const Metrics::Labels labels = {{"route", plan_.route->name}};
   const auto seconds = [&](TimePoint at) {
@@ -99,41 +99,41 @@
   }
 }
 
-void RequestRun::charge_again() {
-  if (ran_ == Ran::kMaybe && plan_.quota_cost > 0) {
+void ActiveRequest::charge_retry() {
+  if (executed_ == Executed::kMaybe && plan_.quota_cost > 0) {
     context_.quotas.charge(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
   }
 }
 
-void RequestRun::settle_quota() {
-  if (ran_ == Ran::kNo && !in_doubt_ && plan_.quota_cost > 0) {
-    context_.quotas.give_back(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
+void ActiveRequest::refund_quota() {
+  if (executed_ == Executed::kNo && !outcome_unknown_ && plan_.quota_cost > 0) {
+    context_.quotas.refund(plan_.tenant->name, plan_.quota_cost, context_.loop.now());
   }
 }
 
-void RequestRun::done(const char* outcome, int status) {
+void ActiveRequest::finish_request(const char* outcome, int status) {
   if (finished_) {
     return;
   }
   finished_ = true;
   answer_->set_flow_handler(nullptr);
   leave_queue();
-  settle_quota();
+  refund_quota();
   event_del(timer_);
   const TimePoint now = context_.loop.now();
   context_.metrics.count("stoat_router_requests_total", {{"status", std::to_string(status)}});
-  const bool success = status >= 200 && status < kFirstError;
-  const bool is_late = late(now);
+  const bool success = status >= 200 && status < kFirstErrorStatus;
+  const bool is_late = missed_objective(now);
   observe(success, now);
   const int64_t first_ms =
       first_event_at_ > TimePoint(0) ? to_milliseconds(first_event_at_ - plan_.arrived) : -1;
   const int64_t expected_ms =
       expected_ ? to_milliseconds(sent_at_ - plan_.arrived) + std::llround(expected_->forecast.total_ms())
                 : -1;
-  story_.add(events::RequestEnded{outcome, status, static_cast<uint32_t>(tried_.size()), refusals_,
-                                  to_milliseconds(now - plan_.arrived), first_ms, expected_ms,
-                                  to_milliseconds(longest_pause_), is_late});
-  story_.finish(context_.stories, !success || is_late, outcome, now);
+  event_log_.add(events::RequestEnded{outcome, status, static_cast<uint32_t>(tried_.size()), refusals_,
+                                      to_milliseconds(now - plan_.arrived), first_ms, expected_ms,
+                                      to_milliseconds(longest_pause_), is_late});
+  event_log_.finish(context_.request_log_sampler, !success || is_late, outcome, now);
   on_done_(this);
 }
 
--- a/src/dispatch/request_fingerprint.cc
+++ b/src/dispatch/request_fingerprint.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A hash over fields of any length, each set off from the next by its length.
+/// Hashes a sequence of fields, each prefixed with its length so that field boundaries are unambiguous.
 class FieldHash {
  public:
   FieldHash() {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-uint64_t request_fingerprint(const edge::CallerRequest& request, std::string_view caller) {
+uint64_t request_fingerprint(const edge::EdgeRequest& request, std::string_view caller) {
   const std::string* host = request.headers.find("Host");
   FieldHash hash;
   hash.add(request.method);
--- a/src/dispatch/request_limits.cc
+++ b/src/dispatch/request_limits.cc
@@ -1,39 +1,40 @@
-/// RequestRun: limits that back ends name for all routers together.
+/// ActiveRequest: rate limits that backends state in their responses, for all routers together.
 #include <algorithm>
 
+#include "src/dispatch/active_request.h"
 #include "src/dispatch/rate_limit_header.h"
-#include "src/dispatch/request_run.h"
 #include "src/events/fleet_events.h"
 
 namespace stoat::dispatch {
 
 namespace {
 
-/// A request for which nothing but limited back ends is there asks for permits of so many of them.
-constexpr size_t kMostWanted = 8;
+/// Number of rate-limited backends for which a request asks for permits when no other backend is available.
+constexpr size_t kMaxPermitRequests = 8;
 
 }  // namespace
 
-void RequestRun::want_permits(const Candidates& found) {
+void ActiveRequest::request_candidate_permits(const Candidates& found) {
   if (found.limited.empty()) {
     return;
   }
-  // The first of its cell is where the shared beginning of its prompt is most likely to be kept. That it gets
-  // some requests also while others have room shows when its limit ends.
-  const size_t count = found.to_send().empty() ? std::min(kMostWanted, found.limited.size()) : 1;
+  // The first backend of the subset is the most likely one to hold the shared prefix of the prompt. It is
+  // sent some requests even while others have room, since its responses show when its limit ends.
+  const size_t count =
+      found.best_available().empty() ? std::min(kMaxPermitRequests, found.limited.size()) : 1;
   bool ask = false;
   for (size_t position = 0; position < count; ++position) {
-    ask = context_.limits.want(found.limited[position]->record.id, context_.loop.now()) || ask;
+    ask = context_.limits.note_unmet_request(found.limited[position]->record.id, context_.loop.now()) || ask;
   }
   if (ask) {
-    context_.ask_for_permits();
+    context_.request_permits();
   }
 }
 
-std::optional<TimePoint> RequestRun::first_chance(const std::vector<std::string>& limited) const {
+std::optional<TimePoint> ActiveRequest::earliest_permit_time(const std::vector<std::string>& limited) const {
   std::optional<TimePoint> first;
-  for (size_t position = 0; position < std::min(kMostWanted, limited.size()); ++position) {
-    const auto chance = context_.limits.next_chance(limited[position], context_.loop.now());
+  for (size_t position = 0; position < std::min(kMaxPermitRequests, limited.size()); ++position) {
+    const auto chance = context_.limits.earliest_send_time(limited[position], context_.loop.now());
     if (!chance) {
       return std::nullopt;
     }
@@ -42,33 +43,35 @@
   return first;
 }
 
-void RequestRun::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
+void ActiveRequest::wait_for_permit(const std::vector<std::string>& limited, const char* reason) {
   const TimePoint now = context_.loop.now();
-  const std::optional<TimePoint> chance = first_chance(limited);
-  if (now < wait_until_ && chance.value_or(now) <= wait_until_) {
-    wait_a_step();
+  const std::optional<TimePoint> chance = earliest_permit_time(limited);
+  if (now < wait_deadline_ && chance.value_or(now) <= wait_deadline_) {
+    schedule_poll();
     return;
   }
   context_.metrics.count("stoat_router_limit_refusals_total", {{"route", plan_.route->name}});
-  reply_own(kUnavailable, reason, to_seconds(return_after(chance.value_or(now) - now)));
+  reply_with_error(kUnavailable, reason, to_seconds(compute_retry_after(chance.value_or(now) - now)));
 }
 
-void RequestRun::spend_permit(const Backend& backend) {
+void ActiveRequest::spend_permit(const Backend& backend) {
   const std::string& id = backend.record.id;
   if (context_.limits.per_second(id) <= 0) {
     return;
   }
   context_.metrics.count("stoat_router_limited_sends_total");
-  if (!context_.limits.spend(id, context_.loop.now())) {
-    // Back ends are chosen among those that may be sent to, in the same turn of the loop.
+  if (!context_.limits.consume_permit(id, context_.loop.now())) {
+    // Must not happen: the backend was chosen among those with a permit in the same iteration of the event
+    // loop.
     context_.metrics.count("stoat_router_sends_without_permit_total");
-    context_.stories.log().error("request sent without a permit", {{"backend", id}});
+    context_.request_log_sampler.log().error("request sent without a permit", {{"backend", id}});
   }
 }
 
-void RequestRun::note_rate_limit(const http1::Headers& headers) {
-  // What another incarnation at the address, or a broken answer, says is not the back end's word.
-  if (head_.status == kMisdirected || kind_ == AnswerKind::kFailure) {
+void ActiveRequest::note_rate_limit(const http1::Headers& headers) {
+  // A response from another incarnation at the same address, or an invalid one, says nothing about this
+  // backend.
+  if (head_.status == kMisdirected || kind_ == ResponseKind::kInvalid) {
     return;
   }
   const std::string& backend = backend_->record.id;
@@ -76,18 +79,18 @@
   const NumberReading reading = read_rate_limit(headers, context_.names.rate_limit);
   if (!reading.finding.empty()) {
     context_.metrics.count("stoat_router_limits_unreadable_total");
-    if (context_.stories.take_lines(1, "limit unreadable", now)) {
-      context_.stories.log().event(events::BackendLimitUnreadable{backend, reading.finding});
+    if (context_.request_log_sampler.reserve_lines(1, "limit unreadable", now)) {
+      context_.request_log_sampler.log().event(events::BackendLimitUnreadable{backend, reading.finding});
     }
   }
   std::optional<admission::LimitChange> change;
-  if (reading.kind == NumberReading::Kind::kNamed) {
-    change = context_.limits.note_named(backend, reading.value, now);
-  } else if (reading.kind == NumberReading::Kind::kNone && kind_ != AnswerKind::kNotRun) {
-    change = context_.limits.note_unnamed(backend, sent_at_);
+  if (reading.kind == NumberReading::Kind::kPresent) {
+    change = context_.limits.record_reported_limit(backend, reading.value, now);
+  } else if (reading.kind == NumberReading::Kind::kNone && kind_ != ResponseKind::kNotRun) {
+    change = context_.limits.record_response_without_limit(backend, sent_at_);
   }
-  if (change && context_.stories.take_lines(1, "limit changed", now)) {
-    context_.stories.log().event(
+  if (change && context_.request_log_sampler.reserve_lines(1, "limit changed", now)) {
+    context_.request_log_sampler.log().event(
         events::BackendLimitChanged{backend, change->per_second, change->before, "answer"});
   }
 }
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Versions that follow one another within the time of a load or two; more are never of interest at once.
-constexpr size_t kMostVersions = 16;
+/// Versions set within the time that one or two loads of weights take; more are never relevant at once.
+constexpr size_t kMaxVersions = 16;
 
 }  // namespace
 
 void VersionHistory::note(uint64_t version, TimePoint since) {
   const auto [entry, added] = since_.emplace(version, since);
   entry->second = std::min(entry->second, since);
-  if (since_.size() > kMostVersions) {
+  if (since_.size() > kMaxVersions) {
     since_.erase(since_.begin());
   }
 }
--- a/src/routing/route_table.cc
+++ b/src/routing/route_table.cc
@@ -14,11 +14,11 @@
   return result;
 }
 
-/// The host name of a Host header, without its port.
+/// Returns the host name of a Host header, without its port.
 std::string_view without_port(std::string_view host) {
   const size_t colon = host.rfind(':');
-  const bool port = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
-  return port ? host.substr(0, colon) : host;
+  const bool has_port = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
+  return has_port ? host.substr(0, colon) : host;
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
   return found == services.end() ? nullptr : &*found;
 }
 
-const std::string& SplitChooser::choose(const fleet::Route& route) {
+const std::string& TrafficSplitter::choose(const fleet::Route& route) {
   if (route.shares.size() == 1) {
     return route.shares.front().service;
   }
--- a/src/topology/topology.cc
+++ b/src/topology/topology.cc
@@ -18,7 +18,7 @@
   return "unknown";
 }
 
-Distance distance(const Place& place, const Place& other) {
+Distance distance(const Location& place, const Location& other) {
   if (place == other) {
     return Distance::kSameZone;
   }
@@ -31,17 +31,17 @@
 }
 
 Distance Topology::distance(const std::string& zone, const std::string& other) const {
-  return topology::distance(place_of(zone), place_of(other));
+  return topology::distance(location_of(zone), location_of(other));
 }
 
-Place Topology::place_of(const std::string& zone) const {
+Location Topology::location_of(const std::string& zone) const {
   return {hash_bytes(zone), hash_bytes(region_of(zone))};
 }
 
 std::vector<std::string> Topology::zones_of(const std::string& region) const {
   std::vector<std::string> zones;
-  for (const auto& [zone, its_region] : regions_) {
-    if (its_region == region) {
+  for (const auto& [zone, zone_region] : regions_) {
+    if (zone_region == region) {
       zones.push_back(zone);
     }
   }
@@ -64,7 +64,7 @@
     }
     const std::string zone = entry.substr(slash + 1);
     if (!regions.emplace(zone, entry.substr(0, slash)).second) {
-      settings.add_finding(kKey, "zone \"" + zone + "\" stands twice");
+      settings.add_finding(kKey, "zone \"" + zone + "\" is listed more than once");
     }
   }
   return Topology(std::move(regions));
--- a/src/topology/topology.h
+++ b/src/topology/topology.h
@@ -1,5 +1,5 @@
-/// Where the places of a deployment lie: which zone belongs to which region, and how far two zones are apart.
-/// The one module that compares zones; the others ask it.
+/// Topology of a deployment: which zone belongs to which region, and the distance between two zones. All zone
+/// comparisons go through this module.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,31 @@
 
 namespace stoat::topology {
 
-/// How far two zones are apart, nearest first.
+/// Distance between two zones, nearest first.
 enum class Distance : uint8_t {
   kSameZone,
-  kSameRegion,   ///< another zone of one region
-  kOtherRegion,  ///< the way between two regions
+  kSameRegion,   ///< different zones of the same region
+  kOtherRegion,  ///< zones of different regions
 };
 
-/// The name of a distance in logs and metrics: "zone", "region" (another zone of it), "regions" (between
-/// two).
+/// The name of a distance in logs and metrics: "zone" (same zone), "region" (same region, different zone) or
+/// "regions" (different regions).
 const char* to_text(Distance distance);
 
-/// A zone and its region as numbers that are quick to compare.
-struct Place {
+/// A zone and its region as 64-bit hashes, which are cheap to compare.
+struct Location {
   uint64_t zone = 0;
   uint64_t region = 0;
-  bool operator==(const Place&) const = default;
+  bool operator==(const Location&) const = default;
 };
 
-/// How far two places are apart.
-Distance distance(const Place& place, const Place& other);
+/// The distance between two places.
+Distance distance(const Location& place, const Location& other);
 
-/// See the head of this file. Zones that it does not know belong to one unnamed region.
+/// Maps zones to regions. All unknown zones belong to one unnamed region.
 class Topology {
  public:
-  /// Knows no zone: all places lie in one region.
+  /// Without any known zone: all zones are in one region.
   Topology() = default;
   /// `regions`: the region of each zone.
   explicit Topology(std::map<std::string, std::string> regions) : regions_(std::move(regions)) {}
@@ -43,7 +43,7 @@
   /// The region of a zone; empty when the zone is unknown.
   std::string region_of(const std::string& zone) const;
   Distance distance(const std::string& zone, const std::string& other) const;
-  Place place_of(const std::string& zone) const;
+  Location location_of(const std::string& zone) const;
   /// The known zones of a region, by name.
   std::vector<std::string> zones_of(const std::string& region) const;
   /// True when the deployment spans several regions.
@@ -53,7 +53,8 @@
   std::map<std::string, std::string> regions_;  ///< by zone
 };
 
-/// Reads the list "zones" of "region/zone" entries; malformed or repeated ones become findings.
+/// Reads the setting "zones", a list of "region/zone" entries. Adds a finding for each malformed or duplicate
+/// entry.
 Topology read_topology(SettingsReader& settings);
 
 }  // namespace stoat::topology
--- a/tests/process/backend_limit_test.cc
+++ b/tests/process/backend_limit_test.cc
@@ -1,11 +1,11 @@
-/// Real processes: three routers, and a back end of two that names a limit while the leader of control is
-/// killed and a router is started anew.
-#include "tests/process/served_programs.h"
+/// Real processes: three routers, and two backends of which one states a rate limit. The limit must hold
+/// while the leader of the control plane is killed and a router is restarted.
+#include "tests/process/fleet_process_test.h"
 
 namespace stoat::tools {
 namespace {
 
-class BackendLimitProcessTest : public ServedPrograms {
+class BackendLimitProcessTest : public FleetProcessTest {
  protected:
   static constexpr double kLimit = 2;  ///< requests a second
 
@@ -13,11 +13,11 @@
     options_.routers = 3;
     options_.limited_services = 1;
     options_.rate_limit = kLimit;
-    ServedPrograms::SetUp();
+    FleetProcessTest::SetUp();
   }
 };
 
-TEST_F(BackendLimitProcessTest, TheLimitHoldsThroughAChangeOfLeaderAndARestartOfARouter) {
+TEST_F(BackendLimitProcessTest, LimitHoldsThroughALeaderChangeAndARouterRestart) {
   constexpr int kSeconds = 14;
   const std::string leader = fleet_->leader();
   const std::vector<RequestRecord> records =
@@ -25,13 +25,15 @@
                                             {6s, [&] { processes_->start(leader); }},
                                             {8s, [&] { processes_->kill("router-3"); }},
                                             {9s, [&] { processes_->start("router-3"); }}});
-  expect_promises(records);
+  expect_guarantees(records);
   const size_t runs = fleet_->runs_at("service-1").size();
-  // What each router sends until the limit has come to all, within some 200 ms of its first answer.
-  constexpr size_t kBeforeItIsKnown = 10;
-  EXPECT_LE(runs, kLimit * kSeconds + kBeforeItIsKnown);
-  EXPECT_GE(runs, kSeconds / 2) << "what it takes is not used";
-  EXPECT_GT(fleet_->runs_at("service-2").size(), runs) << "the other one takes the rest";
+  // Requests that the routers send before all of them know the limit, within some 200 ms of the first
+  // response.
+  constexpr size_t kSentBeforeLimitIsKnown = 10;
+  EXPECT_LE(runs, kLimit * kSeconds + kSentBeforeLimitIsKnown);
+  EXPECT_GE(runs, kSeconds / 2) << "the limited back end got fewer requests than it accepts";
+  EXPECT_GT(fleet_->runs_at("service-2").size(), runs)
+      << "the unlimited back end did not get the other requests";
 }
 
 }  // namespace
--- a/tests/process/served_programs.h
+++ b/tests/process/fleet_process_test.h
@@ -1,4 +1,4 @@
-/// A small fleet of the served programs for one test, with what operators type.
+/// Test fixture that runs a small fleet of real processes, and helpers for running commands such as stoatctl.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,11 +9,11 @@
 #include <memory>
 
 #include "tests/support/paths.h"
-#include "tools/served_fleet.h"
+#include "tools/loopback_fleet.h"
 
 namespace stoat::tools {
 
-/// What a command printed, and its exit status.
+/// The output of a command, standard error included, and its exit status.
 struct CommandOutput {
   int status = 0;
   std::string text;
@@ -30,7 +30,7 @@
   return output;
 }
 
-inline std::string demo_configuration() { return test::source_folder() + "/scripts/demo.json"; }
+inline std::string demo_configuration() { return test::source_root() + "/scripts/demo.json"; }
 
 inline std::string configuration_of_version(uint64_t version) {
   std::ifstream file(demo_configuration());
@@ -39,17 +39,17 @@
   return document.dump();
 }
 
-/// A fleet of real processes for one test.
-class ServedPrograms : public testing::Test {
+/// Starts a LoopbackFleet for each test. The work folder, with the logs, is kept if the test fails.
+class FleetProcessTest : public testing::Test {
  protected:
   void SetUp() override {
     const std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
     work_folder_ =
         (std::filesystem::temp_directory_path() / ("stoat-" + name + "-" + std::to_string(getpid())))
             .string();
-    processes_ = std::make_unique<ProcessFleet>(test::program_folder(), work_folder_);
+    processes_ = std::make_unique<ProcessFleet>(test::program_directory(), work_folder_);
     options_.configuration_file = demo_configuration();
-    fleet_ = std::make_unique<ServedFleet>(*processes_, options_);
+    fleet_ = std::make_unique<LoopbackFleet>(*processes_, options_);
     fleet_->start();
   }
   void TearDown() override {
@@ -60,19 +60,21 @@
     }
   }
 
+  /// Sends the demo mix at 40 requests per second, with another seed on each call.
   std::vector<RequestRecord> send(Duration duration, const std::vector<TimedAction>& actions = {}) {
     return run_load(fleet_->target(), classes_, plan_requests(classes_, 40, duration, ++seed_), actions);
   }
 
-  void expect_promises(const std::vector<RequestRecord>& records) {
-    for (const std::string& violation : check_promises(classes_, records, fleet_->runs())) {
+  void expect_guarantees(const std::vector<RequestRecord>& records) {
+    for (const std::string& violation : check_guarantees(classes_, records, fleet_->runs())) {
       ADD_FAILURE() << violation << "; logs in " << work_folder_;
     }
   }
 
+  /// The number of complete requests.
   static size_t complete(const std::vector<RequestRecord>& records) {
     return static_cast<size_t>(std::count_if(records.begin(), records.end(), [](const RequestRecord& record) {
-      return record.outcome == CallerOutcome::kComplete;
+      return record.outcome == RequestOutcome::kComplete;
     }));
   }
 
@@ -81,15 +83,15 @@
     for (const Endpoint& member : fleet_->admin_endpoints()) {
       members += (members.empty() ? "" : ",") + to_string(member);
     }
-    return run_command(test::program_folder() + "/stoatctl --control " + members + " " + arguments);
+    return run_command(test::program_directory() + "/stoatctl --control " + members + " " + arguments);
   }
 
-  ServedFleetOptions options_;  ///< to be changed before SetUp()
+  LoopbackFleetOptions options_;  ///< derived fixtures change them before FleetProcessTest::SetUp()
   std::vector<RequestClass> classes_ = demo_classes();
   std::string work_folder_;
   uint64_t seed_ = 0;
   std::unique_ptr<ProcessFleet> processes_;
-  std::unique_ptr<ServedFleet> fleet_;
+  std::unique_ptr<LoopbackFleet> fleet_;
 };
 
 }  // namespace stoat::tools
--- a/tests/property/quota_property_test.cc
+++ b/tests/property/quota_property_test.cc
@@ -1,5 +1,5 @@
-/// Quotas over the whole fleet: never above what the users allow in any window, nothing refused below the
-/// limit, and the limit used up when more is asked for.
+/// Quotas across the whole fleet: spending never exceeds the tolerated amount in any window, nothing is
+/// refused below the limit, and the limit is used up when there is enough demand.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,17 +11,17 @@
 using test::QuotaFleet;
 using test::QuotaFleetOptions;
 
-constexpr double kUsedShare = 0.97;
+constexpr double kMinUsedFraction = 0.97;
 
-/// From the start of the members until the traffic's: longer than a window.
-constexpr Duration kRest = 9s;
+/// Idle time between the start of the members and the start of the traffic; longer than a window.
+constexpr Duration kIdleTime = 9s;
 
-/// What a quota allows a second over long: the rate, and a burst in each window.
+/// Returns what a quota allows per second in the long run: the rate, plus one burst per window.
 double limit_per_second(const QuotaFleetOptions& options) {
   return options.rate + options.burst / to_seconds(options.tolerance.window);
 }
 
-QuotaFleetOptions any_fleet() {
+QuotaFleetOptions arbitrary_fleet_options() {
   QuotaFleetOptions options;
   options.routers = *rc::gen::inRange<size_t>(2, 300);
   options.members = *rc::gen::inRange<size_t>(1, 6);
@@ -32,48 +32,48 @@
   return options;
 }
 
-TEST(FleetQuota, AllOfTheLimitIsUsedWhenMoreIsAskedFor) {
+TEST(FleetQuota, LimitIsUsedUpUnderExcessDemand) {
   QuotaFleetOptions options;
   options.demand = 2 * options.rate;
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(24s);
-  fleet.forget_counts();
+  fleet.reset_counts();
   fleet.run_for(24s);
-  EXPECT_GT(fleet.served(), kUsedShare * limit_per_second(options) * 24);
-  EXPECT_LE(fleet.worst_share_of_bound(), 1.0);
+  EXPECT_GT(fleet.admitted_tokens(), kMinUsedFraction * limit_per_second(options) * 24);
+  EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
 TEST(FleetQuota, NothingIsRefusedBelowTheLimit) {
   QuotaFleetOptions options;
   options.demand = 0.9 * options.rate;
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(30s);
-  EXPECT_EQ(fleet.refused(), 0U);
+  EXPECT_EQ(fleet.refused_requests(), 0U);
 }
 
-TEST(FleetQuota, ALowerLimitHoldsOneWindowLater) {
+TEST(FleetQuota, LowerLimitHoldsAfterOneWindow) {
   QuotaFleetOptions options;
   options.rate = options.burst = 600000;
   options.demand = 450000;
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(10s);
-  EXPECT_EQ(fleet.refused(), 0U);
+  EXPECT_EQ(fleet.refused_requests(), 0U);
   fleet.set_rate(150000);
   fleet.run_for(20s);
-  EXPECT_LE(fleet.worst_share_of_bound(), 1.0);
+  EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
-QuotaFleetOptions busy() {
+QuotaFleetOptions overload_options() {
   QuotaFleetOptions options;
   options.demand = 2 * options.rate;
   return options;
 }
 
-TEST(FleetQuota, ARestartOfAllSpendsNoMoreThanTheBound) {
-  QuotaFleet fleet{busy()};
+TEST(FleetQuota, RestartOfAllProcessesStaysWithinTheBound) {
+  QuotaFleet fleet{overload_options()};
   fleet.run_for(12s);
   for (size_t index = 0; index < fleet.member_count(); ++index) {
     fleet.restart_member(index);
@@ -82,11 +82,11 @@
     fleet.restart_router(index);
   }
   fleet.run_for(12s);
-  EXPECT_LE(fleet.worst_share_of_bound(), 1.0);
+  EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
-TEST(FleetQuota, MembersThatDoNotHearEachOtherTogetherKeepTheBound) {
-  QuotaFleet fleet{busy()};
+TEST(FleetQuota, IsolatedMembersTogetherStayWithinTheBound) {
+  QuotaFleet fleet{overload_options()};
   fleet.run_for(12s);
   for (size_t index = 0; index < 2; ++index) {
     fleet.isolate_member(index, true);
@@ -96,30 +96,30 @@
     fleet.isolate_member(index, false);
   }
   fleet.run_for(8s);
-  EXPECT_LE(fleet.worst_share_of_bound(), 1.0);
+  EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
-TEST(FleetQuota, RoutersThatReachNoMemberTogetherKeepTheBound) {
-  QuotaFleet fleet{busy()};
+TEST(FleetQuota, RoutersCutOffFromAllMembersTogetherStayWithinTheBound) {
+  QuotaFleet fleet{overload_options()};
   fleet.run_for(12s);
   for (size_t index = 0; index < fleet.router_count(); ++index) {
     fleet.cut_router(index, true);
   }
-  fleet.forget_counts();
+  fleet.reset_counts();
   fleet.run_for(4s);
-  EXPECT_GT(fleet.served(), 0.1 * 118000 * 4);
+  EXPECT_GT(fleet.admitted_tokens(), 0.1 * 118000 * 4);
   for (size_t index = 0; index < fleet.router_count(); ++index) {
     fleet.cut_router(index, false);
   }
   fleet.run_for(8s);
-  EXPECT_LE(fleet.worst_share_of_bound(), 1.0);
+  EXPECT_LE(fleet.max_fraction_of_bound(), 1.0);
 }
 
 RC_GTEST_PROP(FleetQuotaProperty, TheBoundHoldsUnderFaults, ()) {
-  QuotaFleetOptions options = any_fleet();
+  QuotaFleetOptions options = arbitrary_fleet_options();
   options.demand = options.rate * (0.2 + 0.1 * *rc::gen::inRange(0, 19));
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(3s);
   const int faults = *rc::gen::inRange(1, 5);
   for (int fault = 0; fault < faults; ++fault) {
@@ -155,9 +155,9 @@
         fleet.set_loss(0.05);
         break;
       case 5:
-        fleet.set_only_router(router);
+        fleet.set_target_router(router);
         fleet.run_for(1s);
-        fleet.set_only_router(SIZE_MAX);
+        fleet.set_target_router(SIZE_MAX);
         break;
       default:
         fleet.set_demand(options.demand * 1.7);
@@ -167,37 +167,38 @@
     }
     fleet.run_for(Duration(1000 * *rc::gen::inRange(200, 4000)));
   }
-  RC_ASSERT(fleet.worst_share_of_bound() <= 1.0);
+  RC_ASSERT(fleet.max_fraction_of_bound() <= 1.0);
 }
 
 RC_GTEST_PROP(FleetQuotaProperty, NothingIsRefusedFarBelowTheLimit, ()) {
-  QuotaFleetOptions options = any_fleet();
+  QuotaFleetOptions options = arbitrary_fleet_options();
   options.demand = 0.45 * options.rate;
   options.mean_cost = options.rate / 100;
-  options.most_cost = options.rate / 10;
+  options.max_cost = options.rate / 10;
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(10s);
-  RC_ASSERT(fleet.refused() == 0U);
+  RC_ASSERT(fleet.refused_requests() == 0U);
 }
 
-// A member that was cut off hears at once what was spent meanwhile, and takes it for spent just then.
-RC_GTEST_PROP(FleetQuotaProperty, LittleIsRefusedFarBelowTheLimitWhenAMemberWasCutOff, ()) {
-  QuotaFleetOptions options = any_fleet();
+// A member that was cut off receives what was spent meanwhile all at once, and counts it as spent at that
+// moment.
+RC_GTEST_PROP(FleetQuotaProperty, LittleIsRefusedFarBelowTheLimitAfterAMemberWasCutOff, ()) {
+  QuotaFleetOptions options = arbitrary_fleet_options();
   options.members = *rc::gen::inRange<size_t>(2, 6);
   options.demand = 0.45 * options.rate;
   options.mean_cost = options.rate / 100;
-  options.most_cost = options.rate / 10;
+  options.max_cost = options.rate / 10;
   QuotaFleet fleet(options);
-  fleet.rest_for(kRest);
+  fleet.run_idle_for(kIdleTime);
   fleet.run_for(3s);
   fleet.cut_member(0, true);
   fleet.run_for(2s);
   fleet.cut_member(0, false);
   fleet.run_for(3s);
-  constexpr double kMostRefusedShare = 0.05;
-  const double requests = fleet.asked() / options.mean_cost;
-  RC_ASSERT(static_cast<double>(fleet.refused()) <= 1 + kMostRefusedShare * requests);
+  constexpr double kMaxRefusedFraction = 0.05;
+  const double requests = fleet.requested_tokens() / options.mean_cost;
+  RC_ASSERT(static_cast<double>(fleet.refused_requests()) <= 1 + kMaxRefusedFraction * requests);
 }
 
 }  // namespace
--- a/tests/unit/crashing_request_test.cc
+++ b/tests/unit/crashing_request_test.cc
@@ -1,4 +1,4 @@
-/// Requests under which back ends crash, and that come again under other ids.
+/// Quarantine of requests that crash backends and are sent again under other ids.
 #include <deque>
 #include <map>
 
@@ -7,27 +7,27 @@
 namespace stoat {
 namespace {
 
+using standins::ReceivedRequest;
 using standins::Script;
 using standins::ScriptedEngine;
-using standins::SeenRequest;
 using test::status_of;
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-/// Routers have so long to learn of the third crash from one another.
-constexpr std::chrono::seconds kContact{3};
+/// Time within which all routers must learn of the third crash.
+constexpr std::chrono::seconds kCrashPropagationTime{3};
 constexpr size_t kThirdCrash = 3;
-/// Back ends that may still be reached after that.
-constexpr size_t kMostLater = 3;
+/// Crashes that are tolerated after that.
+constexpr size_t kMaxLaterCrashes = 3;
 
-/// Back ends of "calls" that crash under each request with one body, and are back under another id a little
-/// later.
+/// Three routers and six backends of the service "calls". A backend crashes under each request with the
+/// body kCrashing, and is replaced by one with another id a little later.
 class CrashingRequestTest : public test::SmallFleet {
  protected:
   static constexpr size_t kRouters = 3;
   static constexpr size_t kEngines = 6;
   static constexpr const char* kCrashing = "crashing";
-  static constexpr milliseconds kNoAnswerWait{5000};  ///< before a crashed back end resets a connection
+  static constexpr milliseconds kNoAnswerWait{5000};  ///< before a crashed backend resets a connection
 
   void SetUp() override {
     ASSERT_TRUE(configure(make_configuration(1)));
@@ -39,28 +39,29 @@
       start_engine();
     }
   }
-  /// Starts one more back end.
+  /// Starts one more backend.
   void start_engine() {
     const size_t number = engines_.size();
-    engines_.push_back(std::make_unique<ScriptedEngine>([this, number](const SeenRequest& seen) -> Script {
-      const std::lock_guard<std::mutex> lock(mutex_);
-      if (listener_close_times_.count(number) > 0) {
-        return {standins::wait_step(kNoAnswerWait), standins::reset_step()};
-      }
-      if (seen.body != kCrashing) {
-        return test::succeed(seen);
-      }
-      crashes_.push_back(Clock::now());
-      if (listener_close_delay_ == milliseconds(0)) {
-        return {standins::wait_step(crash_delay_), standins::crash_step()};
-      }
-      listener_close_times_[number] = Clock::now() + listener_close_delay_;
-      return {standins::reset_step()};
-    }));
+    engines_.push_back(
+        std::make_unique<ScriptedEngine>([this, number](const ReceivedRequest& seen) -> Script {
+          const std::lock_guard<std::mutex> lock(mutex_);
+          if (listener_close_times_.count(number) > 0) {
+            return {standins::wait_step(kNoAnswerWait), standins::reset_step()};
+          }
+          if (seen.body != kCrashing) {
+            return test::succeed(seen);
+          }
+          crashes_.push_back(Clock::now());
+          if (listener_close_delay_ == milliseconds(0)) {
+            return {standins::wait_step(crash_delay_), standins::crash_step()};
+          }
+          listener_close_times_[number] = Clock::now() + listener_close_delay_;
+          return {standins::reset_step()};
+        }));
     ids_.push_back("engine" + std::to_string(engines_.size()));
     add_engine(ids_.back(), "calls", *engines_.back());
   }
-  /// Closes the listeners of crashed back ends whose close time has passed.
+  /// Closes the listeners of crashed backends whose close time has passed.
   void close_due_listeners() {
     const std::lock_guard<std::mutex> lock(mutex_);
     for (const auto& [number, closes_at] : listener_close_times_) {
@@ -69,8 +70,8 @@
       }
     }
   }
-  /// Lets those that live send heartbeats, and puts another in the place of each one that has crashed.
-  void keep_engines() {
+  /// Sends the heartbeats of live backends, and replaces each crashed one.
+  void replace_crashed_engines() {
     close_due_listeners();
     for (size_t number = 0; number < engines_.size(); ++number) {
       if (engines_[number] != nullptr && engines_[number]->crashed()) {
@@ -79,7 +80,7 @@
         start_engine();
       }
     }
-    beat();
+    send_engine_heartbeats();
   }
   std::string send_to_router(size_t router, const std::string& id, const std::string& body) {
     test::RawClient client(ports_[router]);
@@ -88,14 +89,14 @@
                 body);
     return client.read_all();
   }
-  /// Sends the crashing request to the routers in turn, at this interval, and returns the last answer.
+  /// Sends the crashing request to the routers in turn, at this interval, and returns the last response.
   std::string send_crashing_for(std::chrono::seconds span, milliseconds interval) {
     std::string last;
     const auto end = Clock::now() + span;
     for (size_t number = 0; Clock::now() < end; ++number) {
       last = send_to_router(number % kRouters, "crashing" + std::to_string(number), kCrashing);
       std::this_thread::sleep_for(interval);
-      keep_engines();
+      replace_crashed_engines();
     }
     return last;
   }
@@ -114,16 +115,16 @@
   std::vector<std::string> ids_;  ///< of `engines_`
 };
 
-TEST_F(CrashingRequestTest, ARequestThatCrashedThreeBackEndsReachesFewOthers) {
+TEST_F(CrashingRequestTest, RequestThatCrashedThreeBackEndsReachesFewOthers) {
   constexpr milliseconds kBetween{300};
   constexpr std::chrono::seconds kSpan{8};
   const std::string last = send_crashing_for(kSpan, kBetween);
   const std::vector<Clock::time_point> times = crashes();
   ASSERT_GE(times.size(), kThirdCrash);
-  const auto bound_from = times[kThirdCrash - 1] + kContact;
+  const auto bound_from = times[kThirdCrash - 1] + kCrashPropagationTime;
   const auto later = std::count_if(times.begin(), times.end(), [&](auto at) { return at > bound_from; });
-  EXPECT_LE(static_cast<size_t>(later), kMostLater);
-  EXPECT_EQ(status_of(last), "HTTP/1.1 503") << last;  // it has not run
+  EXPECT_LE(static_cast<size_t>(later), kMaxLaterCrashes);
+  EXPECT_EQ(status_of(last), "HTTP/1.1 503") << last;  // refused by the router without being sent
   EXPECT_NE(last.find("Retry-After: "), std::string::npos) << last;
   ports_.push_back(add_router());
   EXPECT_EQ(status_of(send_to_router(kRouters, "later router", kCrashing)), "HTTP/1.1 503");
@@ -133,7 +134,7 @@
   }
 }
 
-// Guards against missing a crash while a probe of the silent back end is still open.
+// Guards against missing a crash while a probe of the silent backend is still open.
 TEST_F(CrashingRequestTest, CrashesDuringAProbeOfASilentBackEndAreCounted) {
   crash_delay_ = milliseconds(1050);  // after the first probe has connected, before it ends
   constexpr size_t kSends = 10;
@@ -141,14 +142,14 @@
   for (size_t number = 0; number < kSends; ++number) {
     last = send_to_router(number % kRouters, "crashing" + std::to_string(number), kCrashing);
     std::this_thread::sleep_for(milliseconds(300));
-    keep_engines();
+    replace_crashed_engines();
   }
   const size_t replaced = engines_.size() - kEngines;  // one for each crash
   EXPECT_LE(replaced, kThirdCrash);
   EXPECT_NE(last.find("back ends crashed under the request"), std::string::npos) << last;
 }
 
-// Guards against missing a crash while the back end's listener still accepts connections.
+// Guards against missing a crash while the backend's listener still accepts connections.
 TEST_F(CrashingRequestTest, CrashesAreCountedWhileTheListenerStillAcceptsConnections) {
   listener_close_delay_ = milliseconds(700);
   constexpr milliseconds kBetween{350};
@@ -161,10 +162,10 @@
   }
 }
 
-// Guards against refusing a suspect until the next permit when the back end chosen for it does not accept
+// Guards against refusing a suspect until the next permit when the backend chosen for it does not accept
 // connections.
-TEST_F(CrashingRequestTest, ASuspectIsSentToAnotherBackEndWithTheSamePermitWhenTheConnectionFails) {
-  send_to_router(0, "first", kCrashing);  // repeated once: two crashes
+TEST_F(CrashingRequestTest, SuspectIsSentToAnotherBackEndWithTheSamePermitWhenTheConnectionFails) {
+  send_to_router(0, "first", kCrashing);  // retried once: two crashes
   ASSERT_EQ(crashes().size(), admission::kSuspectCrashes);
   std::this_thread::sleep_for(milliseconds(400));
   size_t alive = 0;
@@ -180,27 +181,27 @@
        tries < kMaxTries && answer.find("back ends crashed under the request") != std::string::npos;
        ++tries) {
     std::this_thread::sleep_for(milliseconds(200));
-    beat();  // includes the crashed back ends
+    send_engine_heartbeats();  // includes the crashed backends
     answer =
         send_to_router(1, "trial" + std::to_string(tries), kCrashing);  // refused until there is a permit
   }
-  EXPECT_EQ(crashes().size(), kThirdCrash) << "the one living back end was not tried";
+  EXPECT_EQ(crashes().size(), kThirdCrash) << "the only live back end was not tried";
 }
 
-TEST_F(CrashingRequestTest, ABackEndThatBreaksRequestsOffAMomentBeforeItIsGoneCountsAsCrashed) {
-  constexpr milliseconds kMoment{20};
+TEST_F(CrashingRequestTest, BackEndThatResetsConnectionsShortlyBeforeItsListenerClosesCountsAsCrashed) {
+  constexpr milliseconds kListenerCloseDelay{20};
   std::deque<ScriptedEngine> engines;
   for (auto& engine : engines_) {
     engine.reset();
   }
   records_.clear();
   for (size_t number = 0; number < kThirdCrash; ++number) {
-    engines.emplace_back([](const SeenRequest&) -> Script { return {standins::reset_step()}; });
+    engines.emplace_back([](const ReceivedRequest&) -> Script { return {standins::reset_step()}; });
     add_engine("late" + std::to_string(number), "calls", engines.back());
     for (size_t tries = 0; tries < 60 && engines.back().requests().empty(); ++tries) {
       send_to_router(0, "once" + std::to_string(number) + "-" + std::to_string(tries), kCrashing);
     }
-    std::this_thread::sleep_for(kMoment);
+    std::this_thread::sleep_for(kListenerCloseDelay);
     engines.back().crash();
     std::this_thread::sleep_for(milliseconds(400));
   }
@@ -208,14 +209,14 @@
   EXPECT_NE(answer.find("back ends crashed under the request"), std::string::npos) << answer;
 }
 
-TEST_F(CrashingRequestTest, ARequestWhoseConnectionsBreakIsNotTakenForOneThatCrashesBackEnds) {
+TEST_F(CrashingRequestTest, BrokenConnectionsWithoutCrashesDoNotQuarantineTheRequest) {
   for (auto& engine : engines_) {
     engine.reset();
   }
   std::atomic<bool> breaking{true};
   std::deque<ScriptedEngine> breakers;
   for (size_t number = 0; number < 4; ++number) {
-    breakers.emplace_back([&breaking](const SeenRequest& seen) -> Script {
+    breakers.emplace_back([&breaking](const ReceivedRequest& seen) -> Script {
       return breaking ? Script{standins::reset_step()} : test::succeed(seen);
     });
     add_engine("breaker" + std::to_string(number), "calls", breakers.back());
