--- a/src/control/fleet_admin_api.cc
+++ b/src/control/fleet_admin_api.cc
@@ -82,7 +82,7 @@
   });
 }
 
-void FleetAdminApi::name_weights(const http::ExchangePtr& exchange) {
+void FleetAdminApi::set_target_weights(const http::ExchangePtr& exchange) {
   const auto named = read_named_weights(exchange->body());
   if (!named) {
     exchange->reply(kBadRequest, kText, "model and version are needed\n");
@@ -95,8 +95,8 @@
   Findings findings;
   fleet::StartServiceRollout order = read_rollout_order(exchange->body(), interface_.field_names, findings);
   if (!findings.empty()) {
-    // An unknown service is only added to other findings. Alone, it is left to the command's checks when the
-    // log applies it, because this member may lag behind.
+    // An unknown service is reported here only together with other findings. If it is the only fault, the
+    // check is left to the state machine when it applies the command, because this member may lag behind.
     if (!order.service.empty() && !fleet_.has_service(order.service)) {
       const std::string message = "'" + order.service + "' is no service with back ends";
       findings.add({"configuration", 0, 0, "rollout.service", message});
@@ -194,7 +194,8 @@
                [this](const http::ExchangePtr& exchange) { put_configuration(exchange); });
   server.route("GET", paths.configuration,
                [this](const http::ExchangePtr& exchange) { get_configuration(exchange); });
-  server.route("POST", paths.weights, [this](const http::ExchangePtr& exchange) { name_weights(exchange); });
+  server.route("POST", paths.weights,
+               [this](const http::ExchangePtr& exchange) { set_target_weights(exchange); });
   server.route("POST", paths.rollouts,
                [this](const http::ExchangePtr& exchange) { order_rollout(exchange); });
   server.route("GET", paths.rollouts + "/*",
--- a/src/control/fleet_routers.cc
+++ b/src/control/fleet_routers.cc
@@ -13,20 +13,21 @@
 /// A router that follows this member reports its status every 400 ms; other routers report every 1.2 s.
 constexpr Duration kFollowingRouterTimeout = 1500ms;
 constexpr Duration kOtherRouterTimeout = 3500ms;
-/// For this long, a new configuration is sent only by the member that a router follows.
+/// For this long after a member has applied a new configuration, it sends the configuration only to the
+/// routers that follow it.
 constexpr Duration kOtherRouterConfigurationDelay = 400ms;
 /// Minimum interval before the same configuration is sent to a router again.
 constexpr Duration kConfigurationResendDelay = 1s;
-/// Number of retirements sent to a newly connected router; backends retired earlier are in no registry any
-/// more.
+/// Number of retirements sent to a newly connected router; backends retired earlier are no longer in
+/// any registry.
 constexpr uint64_t kMaxRecentRetirements = 256;
-/// No feed messages are added while this many bytes are unsent to a router: once it catches up, newer values
-/// have replaced the older ones.
+/// No feed messages are added while this many bytes are unsent to a router: once the router catches up, newer
+/// values have replaced the older ones.
 constexpr size_t kMaxUnsentBytes = 64U << 10U;
 /// A member that has had no confirmation of a leader for this long is considered cut off: heartbeats it
 /// receives do not reach the others. Elections take less time than this; backends count as lost after 4 s.
 constexpr Duration kIsolationTimeout = 1s;
-/// Number of versions of each model's weights sent to routers, the newest ones.
+/// Number of the newest versions of each model's weights that are sent to routers.
 constexpr size_t kMaxNamedVersions = 6;
 
 }  // namespace
@@ -128,8 +129,8 @@
                                     update.retired.push_back({id, *state});
                                   }
                                 });
-  if (link.sent.weights != named_weights_revision_) {
-    for (const auto& [model, history] : named_weights_) {
+  if (link.sent.weights != target_weights_revision_) {
+    for (const auto& [model, history] : target_weights_) {
       const auto& versions = history.versions();
       const size_t skip = versions.size() > kMaxNamedVersions ? versions.size() - kMaxNamedVersions : 0;
       for (auto entry = std::next(versions.begin(), static_cast<std::ptrdiff_t>(skip));
@@ -175,14 +176,14 @@
     link.sent_configuration_version = configuration_version();
     link.configuration_sent_at = loop_.now();
   }
-  link.sent = {retired_backends_.revision(), named_weights_revision_, members_revision_, rollouts_revision_};
+  link.sent = {retired_backends_.revision(), target_weights_revision_, members_revision_, rollouts_revision_};
   link.channel->send(update);
 }
 
 void FleetServer::push_to_routers() {
   // Routers that have received the same revisions get the same frame.
   std::map<std::pair<SentRevisions, bool>, wire::Frame> frames;
-  const SentRevisions newest{retired_backends_.revision(), named_weights_revision_, members_revision_,
+  const SentRevisions newest{retired_backends_.revision(), target_weights_revision_, members_revision_,
                              rollouts_revision_};
   for (auto& [name, link] : router_links_) {
     if (!link.channel->open()) {
@@ -312,9 +313,9 @@
 
 void FleetServer::record_named_weights() {
   for (const auto& [model, version] : core_->state().fleet().weights()) {
-    if (named_weights_[model].newest() < version) {
-      named_weights_[model].note(version, loop_.now());
-      ++named_weights_revision_;
+    if (target_weights_[model].newest() < version) {
+      target_weights_[model].record_version(version, loop_.now());
+      ++target_weights_revision_;
       log_.event(events::TargetWeightsChanged{model, version, 0});
     }
   }
--- a/src/control/fleet_server.cc
+++ b/src/control/fleet_server.cc
@@ -163,7 +163,7 @@
       loop_, endpoint,
       [this](const ChannelPtr& from, wire::Message message) { on_message(from, std::move(message)); },
       [](const ChannelPtr&) {});
-  // The zone is unknown until the first update from this member.
+  // The other member's zone is unknown until its first update arrives.
   channel->set_meter(traffic_,
                      settings_.topology.distance(settings_.zone, soft_state_.zone_of_peer(address)));
   return channel;
@@ -212,8 +212,8 @@
     soft_state_.on_placements(placements->placements);
   } else if (auto* peer_update = std::get_if<fleet::PeerUpdate>(&message.value)) {
     on_peer_update(*peer_update);
-  } else if (auto* question = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
-    on_confirmation_request(channel, *question);
+  } else if (auto* confirmation_request = std::get_if<fleet::ConfirmationRequest>(&message.value)) {
+    on_confirmation_request(channel, *confirmation_request);
   } else if (auto* confirmed = std::get_if<fleet::ConfirmationResponse>(&message.value)) {
     on_confirmation_answer(*confirmed);
   } else if (auto* call = std::get_if<wire::ControlCall>(&message.value)) {
--- a/src/control/fleet_soft_state.h
+++ b/src/control/fleet_soft_state.h
@@ -47,7 +47,7 @@
   bool is_started = false;  ///< the first message of the feed was sent
   uint64_t registry = 0;
   uint64_t loads = 0;
-  uint64_t heads = 0;
+  uint64_t statuses = 0;
   uint64_t holdings = 0;
   uint64_t placements = 0;
   uint64_t quotas = 0;
@@ -59,7 +59,7 @@
  private:
   std::tuple<bool, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t, uint64_t> values()
       const {
-    return {is_started, registry, loads, heads, holdings, placements, quotas, limits, crashes};
+    return {is_started, registry, loads, statuses, holdings, placements, quotas, limits, crashes};
   }
 };
 
@@ -78,8 +78,8 @@
   }
   /// Applies a replicated retirement.
   void retire(const std::string& id, fleet::BackendState state) { registry_.retire(id, state); }
-  /// Records a router's status; `follows`: it receives this member's feed. Returns true if the status has
-  /// changed.
+  /// Records a router's status; `follows`: the router receives this member's feed. Returns true if the status
+  /// has changed.
   bool on_router(const fleet::RouterRecord& router, bool follows, TimePoint now);
   void on_router_loads(const fleet::RouterLoads& loads, TimePoint now);
   /// Removes a router that has closed its connection.
@@ -103,7 +103,7 @@
   void announce_rollout_ages(std::vector<fleet::RolloutAge> ages) {
     pending_update_.rollout_ages = std::move(ages);
   }
-  /// Drops the answer counts of all other rollouts.
+  /// Drops the answer counts of all rollouts that are not in `rollouts`.
   void retain_answers(const std::set<uint64_t>& rollouts) { answers_.retain_only(rollouts); }
   /// Applies an update from another member.
   void on_peer_update(const fleet::PeerUpdate& peer_update, TimePoint now);
@@ -155,7 +155,7 @@
   /// State of another member.
   struct Peer {
     std::string zone;
-    TimePoint heard{0};        ///< when its last update arrived
+    TimePoint last_update{0};  ///< when its last update arrived
     uint64_t last_number = 0;  ///< of its last update
     bool complete = false;     ///< its full state arrived, and every update since
   };
@@ -169,7 +169,7 @@
   /// parts have only now become shared, so they were not sent before.
   void announce_shared_parts(const std::vector<uint64_t>& parts);
   void add_placement(const fleet::ChainPlacement& placement);
-  void apply_engine_notes(const fleet::PeerUpdate& peer_update);
+  void apply_engine_load_states(const fleet::PeerUpdate& peer_update);
   FollowedCache claim_cache(const std::string& holder, const std::string& address, bool store);
   bool add_backends(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
   void add_loads(FeedCursor& cursor, fleet::FleetFeedUpdate& message) const;
@@ -180,7 +180,8 @@
   bool add_crashes(FeedCursor& cursor, fleet::FleetFeedUpdate& message, TimePoint now) const;
   /// Removes the rate limits of backends that are no longer registered.
   void expire_limits();
-  /// True if the differences since `cursor` are still known; otherwise the feed must start anew.
+  /// True if the differences since `cursor` are still known; otherwise the feed must start from the
+  /// beginning.
   bool can_resume(const FeedCursor& cursor) const;
 
   SoftStateOptions options_;
@@ -211,7 +212,7 @@
   uint64_t last_update_number_ = 0;
   fleet::PeerUpdate pending_update_;          ///< parts of the next update to the other members
   std::set<std::string> pending_engine_ids_;  ///< engines whose EngineLoadState is due in the next update
-  uint64_t engine_notes_term_ = 0;            ///< term of the leader whose EngineLoadStates were last applied
+  uint64_t engine_load_states_term_ = 0;      ///< term of the leader whose EngineLoadStates were last applied
 };
 
 }  // namespace stoat::control
--- a/src/control/router_directory.h
+++ b/src/control/router_directory.h
@@ -25,22 +25,24 @@
   /// Removes a router that is no longer connected to this member.
   void forget(const std::string& router);
   /// Records that another member is reachable, and with it the routers that it reported.
-  void on_member_heard(const std::string& member, TimePoint now) { members_last_heard_[member] = now; }
+  void on_member_update(const std::string& member, TimePoint now) { member_update_times_[member] = now; }
   /// Removes routers that have been silent for long. To be called a few times a second.
   void expire(TimePoint now);
 
   /// Number of routers whose member is unreachable, so that what they report does not arrive at this member.
   /// `own`: the routers that follow this member; they are not counted.
-  size_t count_unheard(const std::map<std::string, fleet::RouterRecord>& own, TimePoint now) const;
+  size_t count_without_recent_status(const std::map<std::string, fleet::RouterRecord>& own,
+                                     TimePoint now) const;
   size_t size() const { return routers_.size(); }
   /// The routers that are ready and not silent, by name.
   std::vector<fleet::RouterRecord> ready(TimePoint now) const;
   /// Number of routers in ready().
   size_t ready_count(TimePoint now) const;
   /// Up to `limit` ready routers for the callers in a zone: the routers assigned to the zone
-  /// (assign_routers_to_zones), most of which lie in it. All routers of the region when the region is small
-  /// or too few of the assigned ones are ready, and routers of other regions only when the own region has
-  /// none. The selection is stable, since callers leave a router that is no longer listed.
+  /// (assign_routers_to_zones), most of which lie in it. When the region is small or too few of the assigned
+  /// routers are ready, all ready routers of the region are candidates; routers of other regions are
+  /// candidates only when the zone's own region has no ready router. The selection is stable, since callers
+  /// leave a router that is no longer listed.
   std::vector<fleet::RouterRecord> select_for_callers(const std::string& zone, size_t limit,
                                                       TimePoint now) const;
 
@@ -61,16 +63,16 @@
   /// assigned or ready.
   std::vector<fleet::RouterRecord> select_assigned(const std::string& zone,
                                                    const std::vector<fleet::RouterRecord>& list) const;
-  /// The zone to whose callers each router of the region is assigned. Cached until an assignable router
-  /// changes: with a thousand routers, computing it for each of hundreds of queries a second takes a member a
-  /// few percent of a core.
+  /// For each router of the region, the zone whose callers it is assigned to. Cached until an assignable
+  /// router changes: with a thousand routers, computing the assignment for each of hundreds of queries a
+  /// second uses a few percent of a core on a member.
   const std::map<std::string, std::string>& assignment_for(const std::string& zone) const;
   /// Truncates a list to `limit`: routers of the zone first, then others in an order that differs between
   /// zones.
   static void truncate(std::vector<fleet::RouterRecord>& list, const std::string& zone, size_t limit);
 
   std::map<std::string, KnownRouter> routers_;  ///< by name
-  std::map<std::string, TimePoint> members_last_heard_;
+  std::map<std::string, TimePoint> member_update_times_;
   std::map<std::string, AssignableRouter> assignable_routers_;  ///< by router
   uint64_t assignable_revision_ = 1;  ///< changes when an assignable router is added, removed or moved
   struct Assignment {
--- a/src/dispatch/active_request.cc
+++ b/src/dispatch/active_request.cc
@@ -33,7 +33,7 @@
   const std::string owner = plan.cache_owner();
   uint32_t total = 0;
   for (const PromptPart& part : plan.fields.parts) {
-    chain.links.push_back({placement::part_hash(owner, plan.fields.model, part.id), part.tokens});
+    chain.prompt_parts.push_back({placement::part_hash(owner, plan.fields.model, part.id), part.tokens});
     total += part.tokens;
   }
   chain.prompt_tokens = std::max(total, plan.fields.prompt_tokens);
@@ -102,13 +102,13 @@
 }
 
 TimePoint ActiveRequest::wait_limit() const {
-  // Applies also while no backend may take the request: one round of updates from the control plane reports
-  // backends that have joined or are usable again.
+  // This limit also applies while no backend may take the request. Within that time, one round of updates
+  // from the control plane reports backends that have joined or are usable again.
   const TimePoint usual = admission::wait_limit(times(), context_.admission_thresholds);
   if (context_.pool.count(plan_.service) > 0) {
     return usual;
   }
-  // The feed may come from a control member that has not received any heartbeat yet.
+  // The feed may come from a control-plane member that has not received any heartbeat yet.
   const TimePoint longest = plan_.arrived + (deadline_ - plan_.arrived) / kStartupWaitDivisor;
   return std::max(usual, std::min(longest, context_.startup_ends_at));
 }
@@ -176,8 +176,8 @@
   if (backend_ == nullptr) {
     return;
   }
-  if (!first_event_received_ && !chain_.links.empty()) {
-    backend_->memory.drop_pending(chain_);
+  if (!first_event_received_ && !chain_.prompt_parts.empty()) {
+    backend_->cache_estimate.drop_pending(chain_);
   }
   release_pending_prefill();
   context_.pool.end_request(backend_);
@@ -266,13 +266,13 @@
   }
   release_pending_prefill();
   record_rollout_first_event();
-  if (!first_event_received_ && !chain_.links.empty()) {
+  if (!first_event_received_ && !chain_.prompt_parts.empty()) {
     first_event_received_ = true;
     observe_first_event_latency();
     note_prompt_cached();
   }
   if (event.id && last_event_id_ && *event.id <= *last_event_id_) {
-    return;  // the caller already has it
+    return;  // the caller already has this event
   }
   if (!streaming_) {
     streaming_ = true;
--- a/src/dispatch/request_candidates.cc
+++ b/src/dispatch/request_candidates.cc
@@ -7,7 +7,7 @@
 namespace stoat::dispatch {
 
 std::optional<Duration> ActiveRequest::outdated_for(const Backend& backend) const {
-  // The age counts from the announcement of the lowest newer version, however soon later ones followed.
+  // The age counts from the announcement of the lowest newer version, even if later versions followed soon.
   const auto wanted = context_.announced_weights.find(plan_.fields.model);
   if (wanted == context_.announced_weights.end()) {
     return std::nullopt;
@@ -31,7 +31,7 @@
 }
 
 uint64_t ActiveRequest::subset_key() const {
-  return chain_.links.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
+  return chain_.prompt_parts.empty() ? hash_bytes(plan_.fields.id) : placement::shared_key(chain_);
 }
 
 std::vector<BackendPtr> ActiveRequest::cache_sources_in_subset(size_t candidates) const {
--- a/src/dispatch/request_versions.cc
+++ b/src/dispatch/request_versions.cc
@@ -1,6 +1,6 @@
-/// ActiveRequest: versions. For a service with a rollout of another software version in progress: which of
-/// its backends a request may go to, and the statistics of its responses. Also the weights version that
-/// produced a response.
+/// ActiveRequest: versions. While a rollout of another software version is in progress for a service, selects
+/// the backends that a request may be sent to by their version, and keeps statistics of the responses. Also
+/// handles the weights version that produced a response.
 #include <algorithm>
 
 #include "src/dispatch/active_request.h"
@@ -37,7 +37,7 @@
   if (limits.rollout->phase == fleet::RolloutPhase::kTrial && in_trial_sample_) {
     restrict_to_sample(found, *limits.rollout);
   }
-  // A version all of whose backends were already tried, or are loading weights, counts as unavailable.
+  // A version counts as unavailable if each of its backends was already tried or is loading weights.
   int best = rollout::VersionLimits::kNever;
   for (const BackendPtr& backend : found) {
     if (!backend->record.loading && tried_.count(backend->record.id) == 0) {
@@ -74,17 +74,17 @@
     return;
   }
   const fleet::BackendRecord& record = backend_->record;
-  rollout::CountedRequest send;
-  send.key.rollout = rollout->id;
-  send.key.target = record.software == rollout->target_version;
-  send.key.engine = send.key.target ? record.id : "";
-  send.key.route = plan_.route->name;
-  send.key.condition = rollout::classify_condition(
+  rollout::CountedRequest request;
+  request.key.rollout = rollout->id;
+  request.key.target = record.software == rollout->target_version;
+  request.key.engine = request.key.target ? record.id : "";
+  request.key.route = plan_.route->name;
+  request.key.condition = rollout::classify_condition(
       pending_prefill_tokens_, backend_->outstanding + backend_->others_outstanding, record.slots);
-  send.objective = Duration(1000 * plan_.route->target_latency_ms);
-  context_.answers.begin(send, context_.loop.now());
-  rollout_send_ = send;
-  if (send.key.target && rollout->phase == fleet::RolloutPhase::kTrial) {
+  request.objective = Duration(1000 * plan_.route->target_latency_ms);
+  context_.answers.begin(request, context_.loop.now());
+  rollout_send_ = request;
+  if (request.key.target && rollout->phase == fleet::RolloutPhase::kTrial) {
     in_trial_sample_ = false;  // retries go to an established version
   }
 }
--- a/src/fleet/version_history.cc
+++ b/src/fleet/version_history.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// Versions set within the time that one or two loads of weights take; more are never relevant at once.
+/// Maximum number of versions kept. Only versions set within the time that one or two loads of weights take
+/// are relevant at once, and there are never more of these.
 constexpr size_t kMaxVersions = 16;
 
 }  // namespace
 
-void VersionHistory::note(uint64_t version, TimePoint since) {
+void VersionHistory::record_version(uint64_t version, TimePoint since) {
   const auto [entry, added] = since_.emplace(version, since);
   entry->second = std::min(entry->second, since);
   if (since_.size() > kMaxVersions) {
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -28,6 +28,7 @@
   bool fail_closed = true;             ///< access keys are rejected without a confirmed configuration
   Duration shutdown_timeout = 7s;      ///< from SIGTERM to the end of the process at the latest
   Duration stop_listening_after = 3s;  ///< from SIGTERM until new connections are refused
+  /// Engines with older weights are no longer used after this time since the newer version was announced.
   Duration old_weights_timeout = 6s;
   /// How long a request may wait for a router that has just started. Control members elect a leader within a
   /// second of a restart, and the first heartbeats of backends arrive within a second or so.
@@ -38,7 +39,8 @@
   /// budget.
   Duration router_count_settle_time = 10s;
   events::RequestLogOptions request_log_options;
-  /// An engine queue up to this long costs nothing, since routers learn of a free slot about this much later.
+  /// An engine queue up to this long costs nothing: routers learn of a free slot about this much later, and
+  /// the engine would be idle meanwhile.
   Duration useful_engine_queue = 200ms;
   /// The longest Retry-After for overload.
   Duration longest_retry_after = 10s;
@@ -110,7 +112,8 @@
   void log_standing(uint64_t request, const char* source);
   /// Removes expired crash records and updates the metrics of suspect and quarantined requests.
   void expire_crash_records();
-  void apply_part_changes(const fleet::CacheChanges& changes, placement::KvCacheEstimate& memory) const;
+  void apply_part_changes(const fleet::CacheChanges& changes,
+                          placement::KvCacheEstimate& cache_estimate) const;
   /// Queues a placement for the other routers, which receive it in the next batch.
   void announce_placement(fleet::ChainPlacement placement);
   void apply_configuration(const fleet::FleetConfiguration& configuration);
--- a/src/rollout/answer_counter.h
+++ b/src/rollout/answer_counter.h
@@ -17,7 +17,7 @@
 inline constexpr size_t kLatencyBuckets = 24;
 size_t latency_bucket(Duration time);
 
-/// A condition classifies what makes answers slow whatever the version: the tokens to prefill before the
+/// A condition classifies what makes answers slow with any version: the tokens to prefill before the
 /// first event, and the fraction of the slots in use. Answers under the same condition are comparable. A
 /// condition is at least as hard as another when both its prefill class and its load class are at least as
 /// high.
@@ -49,10 +49,10 @@
 class AnswerCounter {
  public:
   /// A request is sent to a backend.
-  void begin(CountedRequest& send, TimePoint now);
+  void begin(CountedRequest& request, TimePoint now);
   /// The first event, or the whole answer, has arrived.
-  void first_event(CountedRequest& send, TimePoint now);
-  void end(CountedRequest& send, SendOutcome end, TimePoint now);
+  void first_event(CountedRequest& request, TimePoint now);
+  void end(CountedRequest& request, SendOutcome end, TimePoint now);
   /// Removes the counts of rollouts whose ids are not listed.
   void retain_only(const std::set<uint64_t>& rollouts);
 
--- a/src/rollout/router_confirmations.cc
+++ b/src/rollout/router_confirmations.cc
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// A router whose connection was closed reconnects with its next status (400 ms), or has ended.
+/// Time to wait for a router whose connection was closed: it reconnects to send its next status, within
+/// 400 ms, or has ended.
 constexpr Duration kReconnectGrace = 1s;
 
 }  // namespace
 
-void RouterConfirmations::note(const std::string& router, const std::vector<fleet::AppliedRollout>& applied,
-                               TimePoint now) {
+void RouterConfirmations::record_applied(const std::string& router,
+                                         const std::vector<fleet::AppliedRollout>& applied, TimePoint now) {
   RouterReport& known = routers_[router];
   known.reported_at = now;
   known.closed_at = Duration::max();
--- a/src/wire/traffic.cc
+++ b/src/wire/traffic.cc
@@ -21,7 +21,7 @@
   void write(const char*, size_t length) { bytes += length; }
 };
 
-/// Encoded size of a list in bytes; 0 if it is empty, because the byte or so of an empty list's header is
+/// Encoded size of a list in bytes; 0 if it is empty, because the header of an empty list, about one byte, is
 /// counted as part of the message.
 template <typename Value>
 uint64_t encoded_size(const std::vector<Value>& list) {
@@ -40,7 +40,8 @@
   }
   bytes[Purpose::kBackends] =
       encoded_size(update.heartbeats) + encoded_size(update.engines) + encoded_size(update.unreachable);
-  bytes[Purpose::kHeartbeats] = encoded_size(update.marks) + encoded_size(update.questions);
+  bytes[Purpose::kHeartbeats] =
+      encoded_size(update.compact_heartbeats) + encoded_size(update.record_requests);
   bytes[Purpose::kRouters] = encoded_size(update.routers);
   bytes[Purpose::kLoads] = encoded_size(update.loads) + encoded_size(update.limits);
   bytes[Purpose::kCaches] = encoded_size(update.caches) + encoded_size(update.shared_parts);
